--- a/pondpin/relay/attempts/attempt.py
+++ b/pondpin/relay/attempts/attempt.py
@@ -9,7 +9,7 @@
 from pondpin.http_streams import CallFailedError, OpenStream, StreamStart, WithheldError
 from pondpin.relay.attempts.events import EventSplitter
 from pondpin.relay.call import AttemptEnd, EndKind, Progress, RelayCall, WholeReply
-from pondpin.relay.choosing.patience import Patience
+from pondpin.relay.choosing.patience import StallTimeouts
 from pondpin.relay.choosing.planner import Plan
 from pondpin.relay.model import AnswerHead
 from pondpin.relay.ports import Dialect, Forwarded, PartPlace
@@ -127,7 +127,7 @@
         plan: Plan,
         parts: tuple[PartPlace, ...],
         progress: Progress,
-        patience: Patience,
+        patience: StallTimeouts,
         watcher: Watcher,
     ) -> AttemptEnd:
         """Make the attempt. Never raises but for cancellation, which drops the connection."""
@@ -153,7 +153,12 @@
         return await self._read_whole(call, start, head, began)
 
     async def _wait_for_head(
-        self, call: RelayCall, exact: ExactCall, patience: Patience, watcher: Watcher, began: float
+        self,
+        call: RelayCall,
+        exact: ExactCall,
+        patience: StallTimeouts,
+        watcher: Watcher,
+        began: float,
     ) -> StreamStart | None:
         """Send and wait for the head; None when patience or time is over."""
         # A call that may not be repeated gets a new connection: failing to connect then
@@ -162,7 +167,7 @@
         opening = asyncio.ensure_future(self._http.open_exact(exact, fresh, watcher.why_not_send))
         try:
             while True:
-                left = self._time_left(call, patience.first, began, watcher)
+                left = self._time_left(call, patience.first_event_seconds, began, watcher)
                 if left <= 0:
                     return None
                 done, _ = await asyncio.wait((opening,), timeout=min(left, LOOK_SECONDS))
@@ -201,11 +206,13 @@
             body=call.incoming.body,
         )
 
-    async def _is_given_up(self, patience: Patience, watcher: Watcher, heard_at: float) -> bool:
+    async def _is_given_up(
+        self, patience: StallTimeouts, watcher: Watcher, heard_at: float
+    ) -> bool:
         """Ask an upstream that has been silent for long; True when it does not answer and another
         one may take the request.
         """
-        if patience.ask is None or self._clock() - heard_at < patience.ask:
+        if patience.query_seconds is None or self._clock() - heard_at < patience.query_seconds:
             return False
         return not await watcher.ask() and watcher.may_go_elsewhere()
 
@@ -261,7 +268,7 @@
         start: StreamStart,
         head: AnswerHead,
         progress: Progress,
-        patience: Patience,
+        patience: StallTimeouts,
         watcher: Watcher,
         began: float,
     ) -> AttemptEnd:
@@ -293,13 +300,15 @@
         call: RelayCall,
         sink: EventSink,
         progress: Progress,
-        patience: Patience,
+        patience: StallTimeouts,
         watcher: Watcher,
     ) -> bool | None:
         """Whether the stream ended whole; None when it stalled or the deadline passed."""
         before = progress.events
         while True:
-            limit = patience.first if progress.events == before else patience.gap
+            limit = (
+                patience.first_event_seconds if progress.events == before else patience.gap_seconds
+            )
             left = self._time_left(call, limit, sink.heard_at, watcher)
             if left <= 0:
                 return None
--- a/pondpin/relay/attempts/handler.py
+++ b/pondpin/relay/attempts/handler.py
@@ -33,7 +33,7 @@
 from pondpin.relay.attempts.send_guards import SendGuards
 from pondpin.relay.attempts.upstream_judge import UpstreamJudge
 from pondpin.relay.call import AttemptEnd, EndKind, Progress, RelayCall
-from pondpin.relay.choosing.patience import patience_for
+from pondpin.relay.choosing.patience import stall_timeouts_for
 from pondpin.relay.choosing.planner import Plan, Planner, RelayPolicy
 from pondpin.relay.choosing.retry_window import RetryBounds, RetryWindow
 from pondpin.relay.choosing.routing import pick_service
@@ -104,7 +104,7 @@
             admitted = admit(beliefs, facts, incoming.path, arrived)
             route = admitted.route
             call = self._make_call(incoming, reply, facts, admitted, arrived)
-            self._window(call.service).note_request(arrived)
+            self._window(call.service).record_request(arrived)
             await self._serve_unless_gone(call)
         except PondpinError as error:
             self.notes.refused(facts, route, error, arrived, self.beliefs())
@@ -192,7 +192,7 @@
     async def _attempt(self, call: RelayCall, progress: Progress) -> AttemptEnd:
         """Plan and run one attempt; raises PondpinError when nothing can take the request."""
         plan, group = await self.placing.place(call, progress)
-        key = self.planner.begin(call, progress, plan)
+        key = self.planner.begin_attempt(call, progress, plan)
         keeper = self._keep_leases(group, plan, progress)
         progress.upstream, progress.life = plan.lead.id, plan.lead.life
         began = self.clock()
@@ -204,16 +204,16 @@
             end = await self.attempts.run(
                 call,
                 plan,
-                group.places if group is not None else plan.places,
+                group.places if group is not None else plan.helper_endpoints,
                 progress,
-                patience_for(call, plan, self.policy, self.may_go_elsewhere(call, progress)),
+                stall_timeouts_for(call, plan, self.policy, self.may_go_elsewhere(call, progress)),
                 _Watcher(self, call, progress, plan, key, run),
             )
         except BaseException:
             self.guard.leave(call, progress, run)
             raise
         finally:
-            self.planner.end(plan, key)
+            self.planner.end_attempt(plan, key)
             if keeper is not None and group is not None:
                 keeper.cancel()
                 self.leases().release(group)
@@ -230,7 +230,7 @@
         if group is None or plan.choice is None:
             return None
         before = progress.events
-        first_event = plan.choice.first_event
+        first_event = plan.choice.first_event_seconds
         keeping = self.leases().keep(group, first_event, lambda: progress.events > before)
         return asyncio.ensure_future(keeping)
 
@@ -246,7 +246,7 @@
         except PondpinError:
             # The reason is logged when the request ends.
             return False
-        return self._window(call.service).has_left(self.clock(), self.sharers())
+        return self._window(call.service).has_budget(self.clock(), self.sharers())
 
     def _why_not_again(self, call: RelayCall, progress: Progress, end: AttemptEnd) -> str:
         """Why no other upstream may get the request now, empty when one may; spends the budget."""
@@ -319,7 +319,7 @@
     def first_event(self) -> None:
         """See Watcher."""
         self.run.answered_at = self.handler.clock()
-        self.handler.planner.note_first(self.plan, self.key)
+        self.handler.planner.record_first_event(self.plan, self.key)
 
     def heard(self, now: float) -> None:
         """See Watcher."""
--- a/pondpin/relay/attempts/placing.py
+++ b/pondpin/relay/attempts/placing.py
@@ -14,7 +14,7 @@
 from pondpin.relay.call import Progress, RelayCall
 from pondpin.relay.choosing.jobs import make_job
 from pondpin.relay.choosing.planner import Plan, Planner
-from pondpin.relay.choosing.turns import Turn, Turns, Verdict
+from pondpin.relay.choosing.turns import DispatchDecision, Dispatcher, QueueEntry
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.standing import Bar, nobody_left
@@ -39,7 +39,7 @@
     """Plans attempts; raises PondpinError when nothing can take a request."""
 
     planner: Planner
-    turns: Turns
+    turns: Dispatcher
     leases: Callable[[], "Leases"]
     guards: SendGuards
     table: UpstreamTable
@@ -70,7 +70,7 @@
             if plan.choice is None or not plan.choice.lease_tokens:
                 return plan, None
             group, refusing = await self.leases().take(
-                call.id, plan.places, plan.choice.lease_tokens
+                call.id, plan.helper_endpoints, plan.choice.lease_tokens
             )
             if group is not None:
                 return plan, group
@@ -157,32 +157,32 @@
         self, call: RelayCall, progress: Progress, avoid: frozenset[int]
     ) -> Plan | None:
         """Plan; a long prompt waits for its turn."""
-        turn: Turn | None = None
+        turn: QueueEntry | None = None
         try:
             while True:
                 plan = self.planner.plan(call, progress, avoid)
                 if plan is None:
                     return None
-                verdict = self.turns.judge(call, progress, plan, turn)
-                if verdict is Verdict.SEND:
+                verdict = self.turns.decide(call, progress, plan, turn)
+                if verdict is DispatchDecision.SEND:
                     return plan
-                if verdict is Verdict.REFUSE:
+                if verdict is DispatchDecision.REFUSE:
                     raise self._too_late(call, plan)
-                turn = self.turns.move(call, progress, plan, turn, verdict)
+                turn = self.turns.update_queue(call, progress, plan, turn, verdict)
                 await self._rest(plan, turn, verdict)
         finally:
-            self.turns.leave(turn)
+            self.turns.dequeue(turn)
 
-    async def _rest(self, plan: Plan, turn: Turn | None, verdict: Verdict) -> None:
+    async def _rest(self, plan: Plan, turn: QueueEntry | None, verdict: DispatchDecision) -> None:
         """Wait until a prompt that can't be sent yet is worth planning again."""
         planned_at = self.clock()
-        await asyncio.sleep(self.turns.rest(plan, verdict))
-        while not self.turns.should_plan(turn, planned_at):
-            await asyncio.sleep(self.turns.rest(plan, verdict))
+        await asyncio.sleep(self.turns.replan_delay(plan, verdict))
+        while not self.turns.should_replan(turn, planned_at):
+            await asyncio.sleep(self.turns.replan_delay(plan, verdict))
 
     def _too_late(self, call: RelayCall, plan: Plan) -> PondpinError:
         """The refusal of a prompt that would be read when its caller has given up."""
         assert plan.choice is not None, "only prompts wait"
-        first = self.clock() - call.arrived + plan.choice.first_event
+        first = self.clock() - call.arrived + plan.choice.first_event_seconds
         detail = f"first event after {first:.2f} s"
         return PondpinError(Code.CANNOT_FINISH, detail, retry_after=RETRY_SECONDS)
--- a/pondpin/relay/attempts/request_notes.py
+++ b/pondpin/relay/attempts/request_notes.py
@@ -126,12 +126,12 @@
                 target_ms=round(call.route.target * MILLISECONDS),
                 waited_ms=round((now - call.arrived) * MILLISECONDS),
                 part_ms=round(choice.part_seconds * MILLISECONDS) if choice is not None else 0,
-                candidates=plan.candidates,
-                first_event_ms=round(choice.first_event * MILLISECONDS)
+                candidates=plan.candidate_count,
+                first_event_ms=round(choice.first_event_seconds * MILLISECONDS)
                 if choice is not None
                 else 0,
                 loss=round(choice.loss, 3) if choice is not None else 0.0,
-                pool=choice.pool if choice is not None else 0,
+                pool=choice.pool_size if choice is not None else 0,
                 helpers=tuple(state.id for state in plan.helpers),
                 leases=len(group.places) if group is not None else 0,
                 resume_after=str(progress.last_number) if progress.events else "",
--- a/pondpin/relay/choosing/calendar.py
+++ b/pondpin/relay/choosing/calendar.py
@@ -14,103 +14,103 @@
 # What a prompt costs its engines beside reading: a pass that is under way, the first token.
 TURN_SECONDS = 0.08
 # A peer that is first and does not send within this time does not hold up the others.
-HOLD_SECONDS = 0.6
+PEER_ENTRY_TTL_SECONDS = 0.6
 
 
-class WaitingDigest(msgspec.Struct, frozen=True, array_like=True):
+class QueuedPromptDigest(msgspec.Struct, frozen=True, array_like=True):
     """A prompt that waits at its sender; reading is in ms, due in ms from now.
 
     key is a random number. See WaitingPrompt.
     """
 
     key: int
-    reading: int
-    due: int
+    prefill_ms: int
+    due_ms: int
 
 
 @dataclass(frozen=True, slots=True)
-class WaitingPrompt:
+class QueuedPrompt:
     """A long prompt that waits for its turn.
 
     reading: seconds of one engine; due: when its first event is due, by this process's clock.
     """
 
     key: int
-    reading: float
-    due: float
+    prefill_seconds: float
+    due_at: float
 
 
 @dataclass(frozen=True, slots=True)
 class _PeerWaiting:
-    prompts: tuple[WaitingPrompt, ...]
+    prompts: tuple[QueuedPrompt, ...]
     until: float
 
 
-def order_of(waiting: Iterable[WaitingPrompt], now: float, engines: int) -> list[WaitingPrompt]:
+def dispatch_order(waiting: Iterable[QueuedPrompt], now: float, engines: int) -> list[QueuedPrompt]:
     """Those that wait in the order in which they are sent, taking all engines as one machine.
 
     By due time; when not all can be in time the longest gives way, which keeps the number that
     is late least (Moore and Hodgson). Those come last, the shortest first.
     """
-    chosen: list[WaitingPrompt] = []
-    late: list[WaitingPrompt] = []
+    chosen: list[QueuedPrompt] = []
+    late: list[QueuedPrompt] = []
     end = now
-    for prompt in sorted(waiting, key=lambda item: (item.due, item.key)):
+    for prompt in sorted(waiting, key=lambda item: (item.due_at, item.key)):
         chosen.append(prompt)
         end += _turn(prompt, engines)
-        if end > prompt.due:
-            longest = max(chosen, key=lambda item: (item.reading, item.key))
+        if end > prompt.due_at:
+            longest = max(chosen, key=lambda item: (item.prefill_seconds, item.key))
             chosen.remove(longest)
             late.append(longest)
             end -= _turn(longest, engines)
-    return chosen + sorted(late, key=lambda item: (item.reading, item.key))
+    return chosen + sorted(late, key=lambda item: (item.prefill_seconds, item.key))
 
 
-def _turn(prompt: WaitingPrompt, engines: int) -> float:
+def _turn(prompt: QueuedPrompt, engines: int) -> float:
     """Seconds that a prompt takes when all engines read it."""
-    return prompt.reading / max(1, engines) + TURN_SECONDS
+    return prompt.prefill_seconds / max(1, engines) + TURN_SECONDS
 
 
-class Calendar:
+class PrefillQueue:
     """The long prompts that wait here and at peers."""
 
     def __init__(self) -> None:
-        self.own_by_key: dict[int, WaitingPrompt] = {}
+        self.own_by_key: dict[int, QueuedPrompt] = {}
         self._peers: dict[str, _PeerWaiting] = {}
 
-    def enter(self, prompt: WaitingPrompt) -> None:
+    def add(self, prompt: QueuedPrompt) -> None:
         """A prompt begins to wait here."""
         self.own_by_key[prompt.key] = prompt
 
-    def leave(self, key: int) -> None:
+    def remove(self, key: int) -> None:
         """A prompt of this instance waits no more."""
         self.own_by_key.pop(key, None)
 
-    def take_peer(
-        self, instance: str, waiting: Sequence[WaitingDigest], now: float, until: float
+    def update_peer(
+        self, instance: str, waiting: Sequence[QueuedPromptDigest], now: float, until: float
     ) -> None:
         """Take a peer's word on what waits there; it counts until until."""
         prompts = tuple(
-            WaitingPrompt(item.key, item.reading / MILLISECONDS, now + item.due / MILLISECONDS)
+            QueuedPrompt(item.key, item.prefill_ms / MILLISECONDS, now + item.due_ms / MILLISECONDS)
             for item in waiting
         )
         if prompts:
-            self._peers[instance] = _PeerWaiting(prompts, min(until, now + HOLD_SECONDS))
+            self._peers[instance] = _PeerWaiting(prompts, min(until, now + PEER_ENTRY_TTL_SECONDS))
         else:
             self._peers.pop(instance, None)
 
-    def digest(self, now: float) -> tuple[WaitingDigest, ...]:
+    def digest(self, now: float) -> tuple[QueuedPromptDigest, ...]:
         """What waits here, for peers."""
         return tuple(
-            WaitingDigest(
+            QueuedPromptDigest(
                 prompt.key,
-                round(prompt.reading * MILLISECONDS),
-                round((prompt.due - now) * MILLISECONDS),
+                round(prompt.prefill_seconds * MILLISECONDS),
+                round((prompt.due_at - now) * MILLISECONDS),
             )
             for prompt in self.own_by_key.values()
         )
 
-    def waiting(self, now: float) -> list[WaitingPrompt]:
+    def queued(self, now: float) -> list[QueuedPrompt]:
         """All that wait, here and at peers that were heard lately."""
         found = list(self.own_by_key.values())
         for peer in self._peers.values():
@@ -120,5 +120,5 @@
 
     def is_first(self, key: int, now: float, engines: int) -> bool:
         """Whether it is the turn of a prompt that waits here."""
-        order = order_of(self.waiting(now), now, engines)
+        order = dispatch_order(self.queued(now), now, engines)
         return bool(order) and order[0].key == key
--- a/pondpin/relay/choosing/engine_choice.py
+++ b/pondpin/relay/choosing/engine_choice.py
@@ -22,7 +22,7 @@
 
 # Numbers of engines that are compared for one prompt; an engine lets 16 others help.
 PART_COUNTS = (1, 2, 3, 4, 6, 8, 12, 16)
-MOST_PARTS = max(PART_COUNTS)
+MAX_PARTS = max(PART_COUNTS)
 # A prompt whose reading is below this share of the strictest pause target counts as light.
 LIGHT_SHARE = 0.5
 # Free slots kept on each engine of the light pool, for what peers place unseen.
@@ -77,17 +77,17 @@
     answer_tokens: int
     target: float
     gap_target: float
-    patience: float
+    caller_timeout: float
     waited: float = 0.0
-    shortest_gap: float = math.inf
+    service_gap_target: float = math.inf
 
     @property
-    def light_gap(self) -> float:
+    def effective_gap_target(self) -> float:
         """The target of pauses that reading this prompt beside others must leave room for."""
-        return min(self.gap_target, self.shortest_gap)
+        return min(self.gap_target, self.service_gap_target)
 
     @property
-    def worth(self) -> float:
+    def weight(self) -> float:
         """The weight of the request against others."""
         return worth_of(self.prompt_tokens)
 
@@ -98,20 +98,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ChoiceRules:
+class ChoiceOptions:
     """What a choice may use; all but the defaults are there to measure what that is worth.
 
     in_turn: a long prompt gets its engines once they have read others. pool: light streams have
     engines of their own. leases: a prompt may lie on several engines.
     """
 
-    most_parts: int = MOST_PARTS
-    in_turn: bool = True
-    pool: bool = True
+    max_parts: int = MAX_PARTS
+    wait_for_long_prefills: bool = True
+    light_pool: bool = True
     leases: bool = True
 
 
-USUAL_RULES = ChoiceRules()
+USUAL_RULES = ChoiceOptions()
 
 
 class Engine(Protocol):
@@ -157,17 +157,17 @@
     helpers: tuple[str, ...]
     part_seconds: float
     lease_tokens: int
-    first_event: float
+    first_event_seconds: float
     loss: float
-    pool: int
+    pool_size: int
     delays: float = 0.0
-    start: float = 0.0
-    harm: float = 0.0
+    start_delay: float = 0.0
+    interference: float = 0.0
 
 
-def is_useful(choice: EngineChoice, job: Job) -> bool:
+def meets_caller_timeout(choice: EngineChoice, job: Job) -> bool:
     """Whether the caller probably still waits when its first event comes."""
-    return job.waited + choice.first_event <= LATEST_SHARE * job.patience
+    return job.waited + choice.first_event_seconds <= LATEST_SHARE * job.caller_timeout
 
 
 def should_hold(choice: EngineChoice, job: Job) -> bool:
@@ -176,11 +176,11 @@
     While it is sure to be in time waiting is free, so little harm is enough; afterwards it is
     sent once it earns more than others lose.
     """
-    total = job.waited + choice.first_event
+    total = job.waited + choice.first_event_seconds
     if total < WAIT_SHARE * job.target:
-        return choice.harm > WAIT_WORTH * job.worth
-    earned = job.worth * (1.0 - LATE_LOSS * first_late(total, job.target))
-    return choice.harm > earned
+        return choice.interference > WAIT_WORTH * job.weight
+    earned = job.weight * (1.0 - LATE_LOSS * first_late(total, job.target))
+    return choice.interference > earned
 
 
 def worth_of(tokens: int) -> float:
@@ -193,7 +193,7 @@
     return read_seconds(profile, prompt_tokens) <= LIGHT_SHARE * gap_target
 
 
-def pool_size(profile: EngineProfile, light_in_flight: int, engines: int) -> int:
+def light_pool_size(profile: EngineProfile, light_in_flight: int, engines: int) -> int:
     """How many engines, in the common order, serve light requests."""
     room = max(1, profile.slots - SPARE_SLOTS)
     needed = math.ceil((POOL_GROWTH * light_in_flight + POOL_MARGIN) / room)
@@ -206,7 +206,7 @@
     engines: Sequence[Engine],
     light_in_flight: int,
     rng: random.Random,
-    rules: ChoiceRules = USUAL_RULES,
+    rules: ChoiceOptions = USUAL_RULES,
 ) -> EngineChoice | None:
     """The best way found to serve a job; engines come in the order common to all instances.
 
@@ -214,10 +214,14 @@
     """
     if not engines:
         return None
-    pool = pool_size(profile, light_in_flight, len(engines)) if rules.pool else len(engines)
-    if is_light(profile, job.prompt_tokens, job.light_gap):
+    pool = (
+        light_pool_size(profile, light_in_flight, len(engines))
+        if rules.light_pool
+        else len(engines)
+    )
+    if is_light(profile, job.prompt_tokens, job.effective_gap_target):
         return _choose_light(profile, job, engines, pool, rng)
-    pool_worth = POOL_WORTH_PER_SECOND * light_in_flight / pool if rules.pool else 0.0
+    pool_worth = POOL_WORTH_PER_SECOND * light_in_flight / pool if rules.light_pool else 0.0
     return _choose_heavy(profile, job, engines, pool, pool_worth, rng, rules)
 
 
@@ -240,7 +244,7 @@
     seconds = read_seconds(profile, job.prompt_tokens)
     first = first_event_seconds(profile, best.load, (), seconds, job.prompt_tokens)
     waiting = max(0, best.load.in_flight + 1 - profile.slots) * QUEUE_SECONDS
-    loss = job.worth * first_late(first + waiting, job.target)
+    loss = job.weight * first_late(first + waiting, job.target)
     return EngineChoice(best.id, (), seconds, 0, first + waiting, loss, pool)
 
 
@@ -268,18 +272,18 @@
     pool: int,
     pool_worth: float,
     rng: random.Random,
-    rules: ChoiceRules,
+    rules: ChoiceOptions,
 ) -> EngineChoice | None:
     alone = read_seconds(profile, job.prompt_tokens)
     choices = [
         _choose_parts(profile, job, engines, pool, pool_worth, count, alone / count, rng, rules)
         for count in PART_COUNTS
-        if count <= min(len(engines), rules.most_parts)
+        if count <= min(len(engines), rules.max_parts)
     ]
     possible = [choice for choice in choices if choice is not None]
     # Skip work whose caller has already timed out.
-    limit = USEFUL_SHARE * job.patience - job.waited
-    useful = [item for item in possible if item.first_event < limit]
+    limit = USEFUL_SHARE * job.caller_timeout - job.waited
+    useful = [item for item in possible if item.first_event_seconds < limit]
     return min(useful or possible, key=lambda choice: choice.loss, default=None)
 
 
@@ -292,15 +296,15 @@
     count: int,
     part: float,
     rng: random.Random,
-    rules: ChoiceRules,
+    rules: ChoiceOptions,
 ) -> EngineChoice | None:
     """The cheapest count engines for parts of part seconds each."""
     costs = {
         view.id: _part_cost(profile, view, pool_worth if index < pool else 0.0, part)
         for index, view in enumerate(engines)
     }
-    waits = rules.in_turn and part >= LONG_READ_SECONDS
-    second = job.worth / job.target
+    waits = rules.wait_for_long_prefills and part >= LONG_READ_SECONDS
+    second = job.weight / job.target
     ranked = sorted(
         engines,
         key=lambda view: (
@@ -328,8 +332,8 @@
     harm += delays
     loss = harm
     total = job.waited + first
-    loss += job.worth * (LATE_LOSS * first_late(total, job.target) + HASTE * first / job.target)
-    loss += job.worth * GONE_LOSS * late_share(total, job.patience, GONE_SURE, GONE_LATE)
+    loss += job.weight * (LATE_LOSS * first_late(total, job.target) + HASTE * first / job.target)
+    loss += job.weight * GONE_LOSS * late_share(total, job.caller_timeout, GONE_SURE, GONE_LATE)
     loss += PART_WORTH * count
     names = tuple(view.id for view in helpers)
     return EngineChoice(lead.id, names, part, lease, first, loss, pool, delays, start, harm)
--- a/pondpin/relay/choosing/jobs.py
+++ b/pondpin/relay/choosing/jobs.py
@@ -4,11 +4,11 @@
 
 from pondpin.relay.call import Progress, RelayCall
 from pondpin.relay.choosing.engine_choice import Job, is_light
-from pondpin.relay.choosing.routing import shortest_gap
+from pondpin.relay.choosing.routing import service_gap_target
 from pondpin.relay.upstreams.state import UpstreamState
 
 
-def by_rank(states: list[UpstreamState]) -> list[UpstreamState]:
+def interleave_data_centers(states: list[UpstreamState]) -> list[UpstreamState]:
     """The first engines of all data centres, then the second ones and so on.
 
     Light streams have the first engines of their data centre; long prompts of all keep off these.
@@ -31,9 +31,9 @@
         answer_tokens=call.facts.answer_tokens,
         target=call.route.target,
         gap_target=call.route.gap_target or call.route.target,
-        patience=min(call.patience, call.deadline - since),
+        caller_timeout=min(call.patience, call.deadline - since),
         waited=now - since,
-        shortest_gap=shortest_gap(call.configuration, call.service),
+        service_gap_target=service_gap_target(call.configuration, call.service),
     )
 
 
@@ -43,4 +43,6 @@
     profile = service.engine if service is not None else None
     if profile is None or call.facts.prompt_tokens <= 0:
         return True
-    return is_light(profile, call.facts.prompt_tokens, make_job(call, progress, 0.0).light_gap)
+    return is_light(
+        profile, call.facts.prompt_tokens, make_job(call, progress, 0.0).effective_gap_target
+    )
--- a/pondpin/relay/choosing/patience.py
+++ b/pondpin/relay/choosing/patience.py
@@ -26,41 +26,41 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Patience:
+class StallTimeouts:
     """Seconds of silence after which an attempt counts as stalled, before and after the first
     event; None waits until the deadline. ask: seconds after which a silent upstream is asked
     whether it lives, None when it can't be asked."""
 
-    first: float | None
-    gap: float | None
-    ask: float | None = None
+    first_event_seconds: float | None
+    gap_seconds: float | None
+    query_seconds: float | None = None
 
 
-def patience_for(
+def stall_timeouts_for(
     call: RelayCall, plan: Plan, policy: RelayPolicy, may_go_elsewhere: bool
-) -> Patience:
+) -> StallTimeouts:
     """The patience with an attempt at a planned upstream.
 
     Without another attempt silence is no reason to end an answer: the caller may wait on.
     """
     if not call.route.idempotent or not may_go_elsewhere:
-        return Patience(None, None)
+        return StallTimeouts(None, None)
     if call.route.kind is RouteKind.SAFE:
         first = max(SHORTEST_SAFE_PATIENCE, SAFE_PATIENCE_TARGETS * call.route.target)
-        return Patience(first, None)
+        return StallTimeouts(first, None)
     if not policy.has(Mechanism.SECOND_TRIES):
-        return Patience(None, None)
+        return StallTimeouts(None, None)
     gap = GAP_PATIENCE_SHARE * call.patience
-    forecast = plan.choice.first_event if plan.choice is not None else 0.0
+    forecast = plan.choice.first_event_seconds if plan.choice is not None else 0.0
     ask = None
     if policy.has(Mechanism.REPORTS):
         ask = ASK_TIMES * forecast + ASK_SLACK_SECONDS
     if plan.helpers:
         # The engine itself tells of lost helpers.
-        return Patience(HELPED_PATIENCE_SHARE * call.patience, gap, ask)
+        return StallTimeouts(HELPED_PATIENCE_SHARE * call.patience, gap, ask)
     first = max(
         SHORTEST_PATIENCE,
         FORECAST_PATIENCE * forecast + FORECAST_SLACK_SECONDS,
         PATIENCE_SHARE * call.patience,
     )
-    return Patience(first, gap, ask)
+    return StallTimeouts(first, gap, ask)
--- a/pondpin/relay/choosing/planner.py
+++ b/pondpin/relay/choosing/planner.py
@@ -10,14 +10,14 @@
 from pondpin.policies import PlacementPolicy
 from pondpin.relay.call import Progress, RelayCall
 from pondpin.relay.choosing.engine_choice import (
-    MOST_PARTS,
-    ChoiceRules,
+    MAX_PARTS,
+    ChoiceOptions,
     EngineChoice,
     Job,
     choose_engines,
     is_light,
 )
-from pondpin.relay.choosing.jobs import by_rank, make_job
+from pondpin.relay.choosing.jobs import interleave_data_centers, make_job
 from pondpin.relay.mechanisms import Mechanism
 from pondpin.relay.model import EngineProfile
 from pondpin.relay.ports import PartPlace
@@ -31,13 +31,13 @@
 # A choice that puts this much reading on an engine is told to peers at once, in seconds.
 TELL_SECONDS = 0.03
 # A data centre with fewer engines shares the others' too: long prompts want many parts.
-FEWEST_NEAR = 12
+MIN_LOCAL_ENGINES = 12
 # A light stream leaves a crowded data centre for one whose engines have fewer requests by this.
 CENTER_DIFFERENCE = 2.0
 # Share of an upstream's connection limit that is used; the rest is for connections that close.
 CONNECTIONS_SHARE = 0.9
 # However many instances there are: callers are spread unevenly, and few are busy at once.
-FEWEST_CONNECTIONS = 4
+MIN_CONNECTIONS = 4
 # What a peer placed in this time is in none of its digests: their period.
 UNSEEN_SECONDS = 0.2
 # Groups of parts are told apart by random numbers of so many bits.
@@ -63,11 +63,11 @@
     lead: UpstreamState
     helpers: tuple[UpstreamState, ...]
     choice: EngineChoice | None
-    candidates: int
+    candidate_count: int
     is_long: bool = False
 
     @property
-    def places(self) -> tuple[PartPlace, ...]:
+    def helper_endpoints(self) -> tuple[PartPlace, ...]:
         """Where the helpers are."""
         return tuple(
             PartPlace(state.id, state.listed.host, state.listed.port, life=state.life)
@@ -102,7 +102,7 @@
 
 def connection_share(connections: int, sharers: int) -> int:
     """Connections that one instance may have open to an upstream that takes so many in all."""
-    return max(FEWEST_CONNECTIONS, int(connections * CONNECTIONS_SHARE / max(1, sharers)))
+    return max(MIN_CONNECTIONS, int(connections * CONNECTIONS_SHARE / max(1, sharers)))
 
 
 class Planner:
@@ -115,21 +115,21 @@
         rng: random.Random,
         tell_soon: Callable[[], None],
         policy: RelayPolicy | None = None,
-        sharers: Callable[[], int] = lambda: 1,
-        peers: Callable[[], int] = lambda: 0,
+        instance_count: Callable[[], int] = lambda: 1,
+        peer_count: Callable[[], int] = lambda: 0,
         knows_peers: Callable[[], bool] = lambda: True,
-        tell_long_reads: Callable[[], None] = lambda: None,
+        broadcast_long_prefills: Callable[[], None] = lambda: None,
         has_spare: Callable[[UpstreamState], bool] = lambda state: False,
     ) -> None:
         self._has_spare = has_spare
-        self._tell_long_reads = tell_long_reads
+        self._tell_long_reads = broadcast_long_prefills
         self._table = table
         self._clock = clock
         self._rng = rng
         self._tell_soon = tell_soon
         self._policy = policy or RelayPolicy()
-        self._sharers = sharers
-        self._peers = peers
+        self._sharers = instance_count
+        self._peers = peer_count
         self._knows_peers = knows_peers
         self._light_times: deque[float] = deque()
         self._keys = itertools.count(1)
@@ -190,12 +190,12 @@
             plain = plan_baseline(placement, profile, tokens, states, self._rng, now)
             return Plan(plain[0], (), plain[1], len(states))
         job = make_job(call, progress, now)
-        light = is_light(profile, job.prompt_tokens, job.light_gap)
+        light = is_light(profile, job.prompt_tokens, job.effective_gap_target)
         if not light:
             # Leases and their renewals would be requests to a limited one as well.
             states = [state for state in states if not state.is_limited] or states
         near = self._near(states, light)
-        most = 1 if progress.suspected or progress.permit is not None else MOST_PARTS
+        most = 1 if progress.suspected or progress.permit is not None else MAX_PARTS
         choice = self._choose(
             job, profile, near, now, self._light_elsewhere(call.service, near, now), most
         )
@@ -217,8 +217,8 @@
         most: int,
     ) -> EngineChoice | None:
         """Use other data centres' engines when the own ones would be late or are crowded."""
-        late = near is None or near.first_event > job.target
-        light = is_light(profile, job.prompt_tokens, job.light_gap)
+        late = near is None or near.first_event_seconds > job.target
+        light = is_light(profile, job.prompt_tokens, job.effective_gap_target)
         spills = light and self._policy.has(Mechanism.SPILL)
         there = self._idle_center(service, profile, near, late, now) if spills else None
         if there is not None:
@@ -258,7 +258,7 @@
         if self._table.peers_tell_all:
             return states
         near = [state for state in states if self._is_local(state)]
-        fewest = 1 if light else FEWEST_NEAR
+        fewest = 1 if light else MIN_LOCAL_ENGINES
         return near if len(near) >= fewest else states
 
     def _light_elsewhere(self, service: str, engines: list[UpstreamState], now: float) -> int:
@@ -276,22 +276,22 @@
         states: list[UpstreamState],
         now: float,
         light: int = 0,
-        most: int = MOST_PARTS,
+        most: int = MAX_PARTS,
     ) -> EngineChoice | None:
         """Choose among some engines, most of them at once.
 
         light is what is told of their light streams.
         """
         if not self._table.peers_tell_all:
-            states = by_rank(states)
+            states = interleave_data_centers(states)
         views = [_Candidate(state, now, self._is_local(state)) for state in states]
         light = max(light, sum(state.light_in_flight(now) for state in states))
-        if is_light(profile, job.prompt_tokens, job.light_gap):
+        if is_light(profile, job.prompt_tokens, job.effective_gap_target):
             light += self._unseen_light(profile, len(states), now)
-        rules = ChoiceRules(
+        rules = ChoiceOptions(
             most if self._policy.has(Mechanism.PARTS) else 1,
-            in_turn=self._policy.has(Mechanism.CALENDAR),
-            pool=self._policy.has(Mechanism.POOL),
+            wait_for_long_prefills=self._policy.has(Mechanism.CALENDAR),
+            light_pool=self._policy.has(Mechanism.POOL),
             leases=self._policy.has(Mechanism.LEASES),
         )
         return choose_engines(profile, job, views, light, self._rng, rules)
@@ -315,7 +315,7 @@
     def _is_local(self, state: UpstreamState) -> bool:
         return state.listed.data_center == self._table.data_center
 
-    def begin(self, call: RelayCall, progress: Progress, plan: Plan) -> int:
+    def begin_attempt(self, call: RelayCall, progress: Progress, plan: Plan) -> int:
         """Enter an attempt's work in the ledger; returns its key."""
         now = self._clock()
         key = next(self._keys)
@@ -328,7 +328,9 @@
         if choice.lease_tokens:
             lead_tokens = choice.lease_tokens + job.answer_tokens
         profile = call.configuration.services_by_name[call.service].engine
-        light = profile is not None and is_light(profile, job.prompt_tokens, job.light_gap)
+        light = profile is not None and is_light(
+            profile, job.prompt_tokens, job.effective_gap_target
+        )
         if light:
             self._light_times.append(now)
         group = self._rng.getrandbits(GROUP_BITS)
@@ -338,7 +340,7 @@
             tokens=lead_tokens,
             target=job.target,
             gap_target=job.gap_target,
-            worth=job.worth,
+            worth=job.weight,
             light=light,
             writes=True,
             group=group,
@@ -353,14 +355,14 @@
         self._tell_long_reads_of(plan)
         return key
 
-    def note_first(self, plan: Plan, key: int) -> None:
+    def record_first_event(self, plan: Plan, key: int) -> None:
         """The first event came: all parts are read."""
         now = self._clock()
         for state in (plan.lead, *plan.helpers):
             state.note_read(key, now)
         self._tell_if_long(plan)
 
-    def end(self, plan: Plan, key: int) -> None:
+    def end_attempt(self, plan: Plan, key: int) -> None:
         """Take an attempt's work out of the ledger."""
         was_read = plan.lead.work_by_key[key].first_event
         for state in (plan.lead, *plan.helpers):
--- a/pondpin/relay/choosing/retry_window.py
+++ b/pondpin/relay/choosing/retry_window.py
@@ -11,7 +11,7 @@
 # Peers come and go faster than they are noticed; a quarter of the allowance stays unused.
 ALLOWANCE_SHARE = 0.75
 # An instance that has not heard of its peers yet is not alone.
-FEWEST_SHARERS = 4
+MIN_INSTANCES = 4
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
     requests: deque[float] = field(default_factory=deque)
     retries: deque[float] = field(default_factory=deque)
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """A caller's request for the service arrived."""
         self._trim(now)
         self.requests.append(now)
@@ -41,19 +41,19 @@
 
         sharers counts peers that fell silent too: they may be cut off from here and alive.
         """
-        if not self.has_left(now, sharers):
+        if not self.has_budget(now, sharers):
             return False
         self.retries.append(now)
         return True
 
-    def has_left(self, now: float, sharers: int) -> bool:
+    def has_budget(self, now: float, sharers: int) -> bool:
         """Whether the share has a retry left now."""
         self._trim(now)
         return len(self.retries) + 1 <= self.limit(sharers)
 
     def limit(self, sharers: int) -> float:
         """Retries that this instance may make within a window."""
-        allowance = self.bounds.allowance * ALLOWANCE_SHARE / max(FEWEST_SHARERS, sharers)
+        allowance = self.bounds.allowance * ALLOWANCE_SHARE / max(MIN_INSTANCES, sharers)
         return self.bounds.ratio * RATIO_SHARE * len(self.requests) + allowance
 
     def _trim(self, now: float) -> None:
--- a/pondpin/relay/choosing/routing.py
+++ b/pondpin/relay/choosing/routing.py
@@ -24,7 +24,7 @@
     return bool(configuration.accounts_by_key) and not route.public
 
 
-def shortest_gap(configuration: RelayConfiguration, service: str) -> float:
+def service_gap_target(configuration: RelayConfiguration, service: str) -> float:
     """The strictest target of pauses among the streams that share a service, in seconds."""
     return configuration.shortest_gap_by_service.get(service, math.inf)
 
--- a/pondpin/relay/choosing/turns.py
+++ b/pondpin/relay/choosing/turns.py
@@ -7,8 +7,8 @@
 
 from pondpin.clocks import Clock
 from pondpin.relay.call import Progress, RelayCall
-from pondpin.relay.choosing.calendar import Calendar, WaitingPrompt
-from pondpin.relay.choosing.engine_choice import is_useful, should_hold
+from pondpin.relay.choosing.calendar import PrefillQueue, QueuedPrompt
+from pondpin.relay.choosing.engine_choice import meets_caller_timeout, should_hold
 from pondpin.relay.choosing.jobs import make_job
 from pondpin.relay.choosing.planner import Plan, RelayPolicy
 from pondpin.relay.mechanisms import Mechanism
@@ -30,7 +30,7 @@
 KEY_BITS = 31
 
 
-class Verdict(enum.Enum):
+class DispatchDecision(enum.Enum):
     """What becomes of a planned request now."""
 
     SEND = "send"
@@ -40,19 +40,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Turn:
+class QueueEntry:
     """A prompt's place in the calendar; engines are those that long prompts share."""
 
     key: int
     engines: int
 
 
-class Turns:
+class Dispatcher:
     """The long prompts of this instance that wait, and the calendar they stand in."""
 
     def __init__(
         self,
-        calendar: Calendar,
+        calendar: PrefillQueue,
         clock: Clock,
         rng: random.Random,
         tell_soon: Callable[[], None],
@@ -66,74 +66,76 @@
         self._knows_peers = knows_peers
         self._policy = policy or RelayPolicy()
 
-    def judge(self, call: RelayCall, progress: Progress, plan: Plan, turn: Turn | None) -> Verdict:
+    def decide(
+        self, call: RelayCall, progress: Progress, plan: Plan, turn: QueueEntry | None
+    ) -> DispatchDecision:
         """Whether a request is sent as planned; turn is its place in the calendar if it has one."""
         choice = plan.choice
         if choice is None or not plan.is_long or progress.events:
             # A stream that has begun goes on at once: its caller gives up within seconds.
-            return Verdict.SEND
+            return DispatchDecision.SEND
         job = make_job(call, progress, self._clock())
-        if not is_useful(choice, job) and self._policy.has(Mechanism.REFUSAL):
-            return Verdict.REFUSE
+        if not meets_caller_timeout(choice, job) and self._policy.has(Mechanism.REFUSAL):
+            return DispatchDecision.REFUSE
         holds = should_hold(choice, job) and self._policy.has(Mechanism.HOLDING)
         if holds or not self._knows_peers():
-            return Verdict.HOLD
+            return DispatchDecision.HOLD
         is_short = choice.part_seconds < LONG_READ_SECONDS
-        is_free = choice.start <= START_SLACK_SECONDS
+        is_free = choice.start_delay <= START_SLACK_SECONDS
         in_turn = self._policy.has(Mechanism.CALENDAR)
         if is_short or not in_turn or (is_free and self._is_next(turn)):
-            return Verdict.SEND
-        return Verdict.QUEUE
+            return DispatchDecision.SEND
+        return DispatchDecision.QUEUE
 
-    def _is_next(self, turn: Turn | None) -> bool:
+    def _is_next(self, turn: QueueEntry | None) -> bool:
         now = self._clock()
         if turn is None:
-            return not self._calendar.waiting(now)
+            return not self._calendar.queued(now)
         return self._calendar.is_first(turn.key, now, turn.engines)
 
-    def should_plan(self, turn: Turn | None, planned_at: float) -> bool:
+    def should_replan(self, turn: QueueEntry | None, planned_at: float) -> bool:
         """Whether a waiting prompt plans anew: it is first, or has not planned for a while."""
         if turn is None or self._is_next(turn):
             return True
         return self._clock() - planned_at >= REPLAN_SECONDS
 
-    def rest(self, plan: Plan, verdict: Verdict) -> float:
+    def replan_delay(self, plan: Plan, verdict: DispatchDecision) -> float:
         """Seconds until a waiting prompt looks again: when its engines are free, if not before."""
         usual = REST_SECONDS * (0.5 + self._rng.random())
-        if verdict is not Verdict.QUEUE or plan.choice is None:
+        if verdict is not DispatchDecision.QUEUE or plan.choice is None:
             return usual
-        return min(usual, max(SHORTEST_REST_SECONDS, plan.choice.start))
+        return min(usual, max(SHORTEST_REST_SECONDS, plan.choice.start_delay))
 
-    def move(
+    def update_queue(
         self,
         call: RelayCall,
         progress: Progress,
         plan: Plan,
-        turn: Turn | None,
-        verdict: Verdict,
-    ) -> Turn | None:
+        turn: QueueEntry | None,
+        verdict: DispatchDecision,
+    ) -> QueueEntry | None:
         """Enter the calendar, or leave it while held; returns the place there."""
-        if verdict is Verdict.QUEUE:
+        if verdict is DispatchDecision.QUEUE:
             return turn if turn is not None else self._enter(call, progress, plan)
-        self.leave(turn)
+        self.dequeue(turn)
         return None
 
-    def leave(self, turn: Turn | None) -> None:
+    def dequeue(self, turn: QueueEntry | None) -> None:
         """A prompt waits no more."""
         if turn is not None:
-            self._calendar.leave(turn.key)
+            self._calendar.remove(turn.key)
 
-    def _enter(self, call: RelayCall, progress: Progress, plan: Plan) -> Turn:
+    def _enter(self, call: RelayCall, progress: Progress, plan: Plan) -> QueueEntry:
         now = self._clock()
         job = make_job(call, progress, now)
         profile = call.configuration.services_by_name[call.service].engine
         assert profile is not None and plan.choice is not None, "only engines' prompts wait"
-        prompt = WaitingPrompt(
+        prompt = QueuedPrompt(
             key=self._rng.getrandbits(KEY_BITS),
-            reading=read_seconds(profile, job.prompt_tokens),
-            due=now - job.waited + DUE_SHARE * job.target,
+            prefill_seconds=read_seconds(profile, job.prompt_tokens),
+            due_at=now - job.waited + DUE_SHARE * job.target,
         )
-        self._calendar.enter(prompt)
+        self._calendar.add(prompt)
         self._tell_soon()
-        free = plan.candidates - plan.choice.pool
-        return Turn(prompt.key, max(1, free, plan.candidates // FEWEST_LONG_SHARE))
+        free = plan.candidate_count - plan.choice.pool_size
+        return QueueEntry(prompt.key, max(1, free, plan.candidate_count // FEWEST_LONG_SHARE))
--- a/pondpin/relay/entry.py
+++ b/pondpin/relay/entry.py
@@ -29,7 +29,7 @@
 from pondpin.relay.changes import Changes
 from pondpin.relay.choosing.planner import Planner, RelayPolicy
 from pondpin.relay.choosing.retry_window import RetryBounds
-from pondpin.relay.choosing.turns import Turns
+from pondpin.relay.choosing.turns import Dispatcher
 from pondpin.relay.housekeeping import HousekeepingController
 from pondpin.relay.late_parts import OPERATION_PATHS, PIECES_PATH, LateParts, LatePieces
 from pondpin.relay.log import EventLog
@@ -146,7 +146,7 @@
             self.gossip.tell_long_reads,
             lambda state: self.gossip.limits.desk.has_spare(state),
         )
-        turns = Turns(
+        turns = Dispatcher(
             self.gossip.calendar,
             steady_now,
             self.rng,
--- a/pondpin/relay/peers/digests.py
+++ b/pondpin/relay/peers/digests.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from pondpin.relay.choosing.calendar import WaitingDigest
+from pondpin.relay.choosing.calendar import QueuedPromptDigest
 from pondpin.relay.published.freshness import PublishedVersion
 from pondpin.relay.upstreams.center_loads import CenterLoad
 from pondpin.relay.upstreams.work import WorkDigest
@@ -86,7 +86,7 @@
     quiet: int
     asks: bool
     center_loads: tuple[CenterLoad, ...] = ()
-    waiting: tuple[WaitingDigest, ...] = ()
+    waiting: tuple[QueuedPromptDigest, ...] = ()
     far_hosts: tuple[str, ...] = ()
     quarantine_tag: int = 0
     limits: tuple[LimitTold, ...] = ()
--- a/pondpin/relay/peers/gossip.py
+++ b/pondpin/relay/peers/gossip.py
@@ -13,7 +13,7 @@
 from pondpin.datagrams import DatagramPort, DatagramSocket
 from pondpin.network import Endpoint
 from pondpin.quarantine import Quarantine, turn_of
-from pondpin.relay.choosing.calendar import Calendar
+from pondpin.relay.choosing.calendar import PrefillQueue
 from pondpin.relay.log import EventLog
 from pondpin.relay.log_events import (
     DataCenterChanged,
@@ -69,7 +69,7 @@
     rng: random.Random
     reads_source: Callable[[], bool]
     is_settled: Callable[[], bool] = lambda: True
-    calendar: Calendar = field(default_factory=Calendar)
+    calendar: PrefillQueue = field(default_factory=PrefillQueue)
     quarantine: Quarantine = field(default_factory=Quarantine)
     sequence: int = 0
     bytes_out: int = 0
@@ -195,7 +195,7 @@
         quiet = digest.quiet / MILLISECONDS
         until = now + max(PEER_LOAD_SECONDS, QUIET_TIMES * quiet)
         self.table.take_peer_work(digest.instance, digest.work, now, until)
-        self.calendar.take_peer(digest.instance, digest.waiting, now, until)
+        self.calendar.update_peer(digest.instance, digest.waiting, now, until)
         self.table.center_loads.take(digest.data_center, digest.center_loads, now)
         if digest.asks:
             self._answer(digest, now)
--- a/pondpin/tests/test_relay_calendar.py
+++ b/pondpin/tests/test_relay_calendar.py
@@ -6,17 +6,22 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pondpin.relay.choosing.calendar import HOLD_SECONDS, Calendar, WaitingPrompt, order_of
+from pondpin.relay.choosing.calendar import (
+    PEER_ENTRY_TTL_SECONDS,
+    PrefillQueue,
+    QueuedPrompt,
+    dispatch_order,
+)
 
 NOW = 1000.0
 
 
-def prompt(key: int, reading: float, due: float) -> WaitingPrompt:
-    return WaitingPrompt(key, reading, NOW + due)
+def prompt(key: int, reading: float, due: float) -> QueuedPrompt:
+    return QueuedPrompt(key, reading, NOW + due)
 
 
-def keys(*waiting: WaitingPrompt, engines: int = 10) -> list[int]:
-    return [item.key for item in order_of(waiting, NOW, engines)]
+def keys(*waiting: QueuedPrompt, engines: int = 10) -> list[int]:
+    return [item.key for item in dispatch_order(waiting, NOW, engines)]
 
 
 class OrderTest(unittest.TestCase):
@@ -43,35 +48,35 @@
 
 class CalendarTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.here = Calendar()
-        self.there = Calendar()
+        self.here = PrefillQueue()
+        self.there = PrefillQueue()
 
     def tell(self, now: float = NOW) -> None:
-        self.here.take_peer("there", self.there.digest(now), now, now + 5.0)
+        self.here.update_peer("there", self.there.digest(now), now, now + 5.0)
 
     def test_instances_agree_on_who_is_first(self) -> None:
-        self.here.enter(prompt(1, 4.0, 3.0))
-        self.there.enter(prompt(2, 4.0, 2.0))
+        self.here.add(prompt(1, 4.0, 3.0))
+        self.there.add(prompt(2, 4.0, 2.0))
         self.tell()
-        self.there.take_peer("here", self.here.digest(NOW), NOW, NOW + 5.0)
+        self.there.update_peer("here", self.here.digest(NOW), NOW, NOW + 5.0)
         self.assertFalse(self.here.is_first(1, NOW, 10))
         self.assertTrue(self.there.is_first(2, NOW, 10))
 
     def test_a_peer_that_falls_silent_holds_nobody_up(self) -> None:
-        self.here.enter(prompt(1, 4.0, 3.0))
-        self.there.enter(prompt(2, 4.0, 2.0))
+        self.here.add(prompt(1, 4.0, 3.0))
+        self.there.add(prompt(2, 4.0, 2.0))
         self.tell()
-        self.assertTrue(self.here.is_first(1, NOW + HOLD_SECONDS, 10))
+        self.assertTrue(self.here.is_first(1, NOW + PEER_ENTRY_TTL_SECONDS, 10))
 
     def test_what_a_peer_sent_waits_no_more(self) -> None:
-        self.here.enter(prompt(1, 4.0, 3.0))
-        self.there.enter(prompt(2, 4.0, 2.0))
+        self.here.add(prompt(1, 4.0, 3.0))
+        self.there.add(prompt(2, 4.0, 2.0))
         self.tell()
-        self.there.leave(2)
+        self.there.remove(2)
         self.tell()
         self.assertTrue(self.here.is_first(1, NOW, 10))
-        self.here.leave(1)
-        self.assertEqual(self.here.waiting(NOW), [])
+        self.here.remove(1)
+        self.assertEqual(self.here.queued(NOW), [])
 
 
 if __name__ == "__main__":
--- a/pondpin/tests/test_relay_crowding.py
+++ b/pondpin/tests/test_relay_crowding.py
@@ -56,7 +56,7 @@
             self.now += self.rng.expovariate(STREAMS_PER_SECOND)
             while self.ends and self.ends[0][0] <= self.now:
                 _, _, key, center, plan = heapq.heappop(self.ends)
-                self.planners[center].end(plan, key)
+                self.planners[center].end_attempt(plan, key)
                 self.open_by_engine[plan.lead.id] -= 1
             if self.now - told_at > TOLD_SECONDS:
                 told_at = self.now
@@ -76,8 +76,8 @@
         planner, call = self.planners[center], make_call(5000)
         plan = planner.plan(call, Progress(), frozenset())
         assert plan is not None
-        key = planner.begin(call, Progress(), plan)
-        planner.note_first(plan, key)
+        key = planner.begin_attempt(call, Progress(), plan)
+        planner.record_first_event(plan, key)
         name = plan.lead.id
         self.found_full += self.open_by_engine[name] >= PROFILE.slots
         self.open_by_engine[name] += 1
--- a/pondpin/tests/test_relay_engines.py
+++ b/pondpin/tests/test_relay_engines.py
@@ -8,12 +8,12 @@
 from hypothesis import strategies as st
 
 from pondpin.relay.choosing.engine_choice import (
-    ChoiceRules,
+    ChoiceOptions,
     EngineView,
     Job,
     choose_engines,
     is_light,
-    pool_size,
+    light_pool_size,
 )
 from pondpin.relay.model import EngineProfile, ListedUpstream, life_of
 from pondpin.relay.upstreams.forecast import (
@@ -95,24 +95,24 @@
         used = {choice.lead, *choice.helpers}
         self.assertGreater(len(used), 2)
         self.assertFalse(used & {"e0", "e1", "e2", "e3"})
-        self.assertLess(choice.first_event, LONG.target)
+        self.assertLess(choice.first_event_seconds, LONG.target)
 
     def test_without_parts_one_engine_reads_all(self) -> None:
-        rules = ChoiceRules(most_parts=1)
+        rules = ChoiceOptions(max_parts=1)
         choice = choose_engines(PROFILE, LONG, views(*[IDLE] * 8), 0, self.rng, rules)
         assert choice is not None
         self.assertEqual(choice.helpers, ())
         self.assertIsNone(choose_engines(PROFILE, HUGE, views(*[IDLE] * 8), 0, self.rng, rules))
 
     def test_without_leases_a_prompt_larger_than_an_engine_is_not_placed(self) -> None:
-        rules = ChoiceRules(leases=False)
+        rules = ChoiceOptions(leases=False)
         self.assertIsNone(choose_engines(PROFILE, HUGE, views(*[IDLE] * 18), 0, self.rng, rules))
 
     def test_without_a_pool_a_long_prompt_may_go_anywhere(self) -> None:
-        rules = ChoiceRules(pool=False)
+        rules = ChoiceOptions(light_pool=False)
         choice = choose_engines(PROFILE, LONG, views(*[IDLE] * 8), 30, self.rng, rules)
         assert choice is not None
-        self.assertEqual(choice.pool, 8)
+        self.assertEqual(choice.pool_size, 8)
 
     def test_a_prompt_larger_than_an_engine_gets_leases(self) -> None:
         choice = choose_engines(PROFILE, HUGE, views(*[IDLE] * 18), 0, self.rng)
@@ -125,7 +125,7 @@
         busy = replace(CHATS, writers=(Writers(0.2, 6, 7.8),), in_flight=6)
         choice = choose_engines(PROFILE, HUGE, views(*[busy] * 18), 100, self.rng)
         assert choice is not None
-        self.assertLess(choice.first_event, HUGE.patience * 0.8)
+        self.assertLess(choice.first_event_seconds, HUGE.caller_timeout * 0.8)
 
     def test_no_memory_anywhere_is_told(self) -> None:
         full = replace(IDLE, tokens=440_000)
@@ -139,7 +139,7 @@
             choice = choose_engines(PROFILE, SHORT, views(*loads), 6, self.rng)
             assert choice is not None
             chosen.add(choice.lead)
-        self.assertEqual(chosen, {f"e{i}" for i in range(pool_size(PROFILE, 6, 12))})
+        self.assertEqual(chosen, {f"e{i}" for i in range(light_pool_size(PROFILE, 6, 12))})
 
     def test_a_crowded_pool_overflows(self) -> None:
         crowded = replace(CHATS, in_flight=8)
@@ -149,9 +149,9 @@
         self.assertIn(choice.lead, ("e3", "e4", "e5"))
 
     def test_the_pool_grows_with_light_streams(self) -> None:
-        sizes = [pool_size(PROFILE, count, 18) for count in range(0, 120, 10)]
+        sizes = [light_pool_size(PROFILE, count, 18) for count in range(0, 120, 10)]
         self.assertEqual(sizes, sorted(sizes))
-        self.assertEqual(pool_size(PROFILE, 500, 18), 18)
+        self.assertEqual(light_pool_size(PROFILE, 500, 18), 18)
         self.assertTrue(is_light(PROFILE, 5000, 0.2))
         self.assertFalse(is_light(PROFILE, 45_000, 0.5))
 
--- a/pondpin/tests/test_relay_long_reads.py
+++ b/pondpin/tests/test_relay_long_reads.py
@@ -108,8 +108,8 @@
             lambda: self.fleet.now,
             random.Random(seed),
             lambda: member.send(self.fleet.now),
-            peers=member.count_tellers,
-            tell_long_reads=(lambda: None) if silent else member.tell_long_reads,
+            peer_count=member.count_tellers,
+            broadcast_long_prefills=(lambda: None) if silent else member.tell_long_reads,
         )
 
     def play(self, light_per_second: float, long_per_second: float, long_tokens: int) -> None:
@@ -142,11 +142,11 @@
                     self._begin_writing(part.request, at)
         while self.writing and self.writing[0][0] <= now:
             _, _, request = heapq.heappop(self.writing)
-            self.planners[request.member].end(request.plan, request.key)
+            self.planners[request.member].end_attempt(request.plan, request.key)
 
     def _begin_writing(self, request: Request, at: float) -> None:
         request.first_at = at
-        self.planners[request.member].note_first(request.plan, request.key)
+        self.planners[request.member].record_first_event(request.plan, request.key)
         end = at + STREAM_SECONDS * self.rng.uniform(0.7, 1.3)
         heapq.heappush(self.writing, (end, next(self.order), request))
 
@@ -157,7 +157,7 @@
         if plan is None or plan.choice is None:
             return
         states = (plan.lead, *plan.helpers)
-        key = planner.begin(call, Progress(last_at=now), plan)
+        key = planner.begin_attempt(call, Progress(last_at=now), plan)
         request = Request(member, key, plan, now, not plan.is_long, len(states))
         if request.light:
             self._check(request)
--- a/pondpin/tests/test_relay_patience.py
+++ b/pondpin/tests/test_relay_patience.py
@@ -8,9 +8,9 @@
 from pondpin.relay.attempts.attempt import Attempts, EventSink
 from pondpin.relay.call import Progress
 from pondpin.relay.choosing.engine_choice import EngineChoice
-from pondpin.relay.choosing.patience import Patience, patience_for
+from pondpin.relay.choosing.patience import StallTimeouts, stall_timeouts_for
 from pondpin.relay.choosing.planner import Plan, RelayPolicy
-from pondpin.relay.choosing.retry_window import FEWEST_SHARERS, RetryBounds, RetryWindow
+from pondpin.relay.choosing.retry_window import MIN_INSTANCES, RetryBounds, RetryWindow
 from pondpin.relay.mechanisms import Mechanism
 from pondpin.relay.model import AnswerHead, ListedUpstream
 from pondpin.relay.upstreams.state import UpstreamState
@@ -20,27 +20,31 @@
 ENGINE = UpstreamState(ListedUpstream("e0", "engines", "10.0.0.1", 80, "north", 8, False))
 PLAN = Plan(ENGINE, (), EngineChoice("e0", (), 0.02, 0, 0.1, 0.0, 2), 9)
 POLICY = RelayPolicy()
-ENDLESS = Patience(None, None)
+ENDLESS = StallTimeouts(None, None)
 
 
 class PatienceTest(unittest.TestCase):
     def test_a_silent_stream_is_left_while_another_upstream_may_take_it(self) -> None:
-        found = patience_for(make_call(5000), PLAN, POLICY, True)
-        assert found.first is not None and found.gap is not None and found.ask is not None
-        self.assertLess(found.ask, found.first)
-        self.assertLess(found.gap, make_call(5000).patience)
+        found = stall_timeouts_for(make_call(5000), PLAN, POLICY, True)
+        assert (
+            found.first_event_seconds is not None
+            and found.gap_seconds is not None
+            and found.query_seconds is not None
+        )
+        self.assertLess(found.query_seconds, found.first_event_seconds)
+        self.assertLess(found.gap_seconds, make_call(5000).patience)
 
     def test_silence_does_not_end_the_last_attempt(self) -> None:
-        self.assertEqual(patience_for(make_call(5000), PLAN, POLICY, False), ENDLESS)
+        self.assertEqual(stall_timeouts_for(make_call(5000), PLAN, POLICY, False), ENDLESS)
 
     def test_what_may_not_be_repeated_is_never_left(self) -> None:
         call = make_call(5000)
         call = replace(call, route=replace(call.route, resumable=False))
-        self.assertEqual(patience_for(call, PLAN, POLICY, True), ENDLESS)
+        self.assertEqual(stall_timeouts_for(call, PLAN, POLICY, True), ENDLESS)
 
     def test_without_second_tries_every_attempt_is_the_last(self) -> None:
         policy = RelayPolicy(without=frozenset({Mechanism.SECOND_TRIES}))
-        self.assertEqual(patience_for(make_call(5000), PLAN, policy, True), ENDLESS)
+        self.assertEqual(stall_timeouts_for(make_call(5000), PLAN, policy, True), ENDLESS)
 
 
 class ScriptedWatcher:
@@ -72,7 +76,7 @@
 
 
 class SilenceTest(unittest.TestCase):
-    def wait(self, may_go_elsewhere: bool, patience: Patience) -> tuple[bool | None, float]:
+    def wait(self, may_go_elsewhere: bool, patience: StallTimeouts) -> tuple[bool | None, float]:
         """Wait for a stream whose last event comes after a pause of three seconds."""
 
         async def work() -> tuple[bool | None, float]:
@@ -93,25 +97,25 @@
         return found
 
     def test_a_silent_stream_is_left_when_another_upstream_may_take_it(self) -> None:
-        whole, seconds = self.wait(True, Patience(1.0, 1.0, 0.5))
+        whole, seconds = self.wait(True, StallTimeouts(1.0, 1.0, 0.5))
         self.assertIsNone(whole)
         self.assertAlmostEqual(seconds, 1.0, 3)
 
     def test_it_is_waited_for_when_none_may_take_it_any_more(self) -> None:
-        whole, seconds = self.wait(False, Patience(1.0, 1.0, 0.5))
+        whole, seconds = self.wait(False, StallTimeouts(1.0, 1.0, 0.5))
         self.assertIs(whole, True)
         self.assertAlmostEqual(seconds, 3.0, 3)
 
 
 class RetryShareTest(unittest.TestCase):
     def test_looking_spends_nothing(self) -> None:
-        window = RetryWindow(RetryBounds(0.0, 2.0 * FEWEST_SHARERS, 10.0))
+        window = RetryWindow(RetryBounds(0.0, 2.0 * MIN_INSTANCES, 10.0))
         for _ in range(9):
-            self.assertTrue(window.has_left(5.0, 1))
+            self.assertTrue(window.has_budget(5.0, 1))
         while window.spend(5.0, 1):
             pass
-        self.assertFalse(window.has_left(5.0, 1))
-        self.assertTrue(window.has_left(15.1, 1))
+        self.assertFalse(window.has_budget(5.0, 1))
+        self.assertTrue(window.has_budget(15.1, 1))
 
 
 if __name__ == "__main__":
--- a/pondpin/tests/test_relay_planner.py
+++ b/pondpin/tests/test_relay_planner.py
@@ -7,8 +7,8 @@
 
 from pondpin.relay.call import Progress, RelayCall
 from pondpin.relay.choosing.planner import (
-    FEWEST_CONNECTIONS,
-    FEWEST_NEAR,
+    MIN_CONNECTIONS,
+    MIN_LOCAL_ENGINES,
     Plan,
     Planner,
     connection_share,
@@ -58,18 +58,20 @@
 class ConnectionShareTest(unittest.TestCase):
     def test_instances_share_what_an_upstream_takes(self) -> None:
         self.assertEqual(connection_share(100, 9), 10)
-        self.assertEqual(connection_share(100, 80), FEWEST_CONNECTIONS)
+        self.assertEqual(connection_share(100, 80), MIN_CONNECTIONS)
 
     def test_an_upstream_at_its_share_gets_nothing_more(self) -> None:
         table = UpstreamTable("north")
         listed = ListedUpstream("e0", "engines", "10.0.0.1", 80, "north", 8, False)
         table.take_list([listed], [])
-        planner = Planner(table, lambda: NOW, random.Random(1), lambda: None, sharers=lambda: 64)
+        planner = Planner(
+            table, lambda: NOW, random.Random(1), lambda: None, instance_count=lambda: 64
+        )
         call = make_call(2000)
-        for _ in range(FEWEST_CONNECTIONS):
+        for _ in range(MIN_CONNECTIONS):
             plan = planner.plan(call, Progress(), frozenset())
             assert plan is not None
-            planner.begin(call, Progress(), plan)
+            planner.begin_attempt(call, Progress(), plan)
         self.assertIsNone(planner.plan(call, Progress(), frozenset()))
 
 
@@ -93,7 +95,7 @@
         assert plan is not None
         self.assertTrue(plan.is_long)
         assert plan.choice is not None
-        pool = table.of_service("engines")[: plan.choice.pool]
+        pool = table.of_service("engines")[: plan.choice.pool_size]
         self.assertNotIn(plan.lead, pool)
 
 
@@ -127,20 +129,20 @@
                 state.work_by_key[-1] = Work(30.0, NOW, 9000, 0.3, 0.2, 50.0, False, True)
 
     def test_a_large_fleet_reads_a_long_prompt_on_neighbours(self) -> None:
-        self.fill(FEWEST_NEAR, 20)
+        self.fill(MIN_LOCAL_ENGINES, 20)
         self.table.peers_tell_all = False
         for _ in range(20):
             plan = self.plan(make_call(250_000, target=3.0, gap_target=0.8))
             self.assertEqual(self.centers(plan), {"north"})
 
     def test_other_centres_take_what_neighbours_would_be_late_with(self) -> None:
-        self.fill(FEWEST_NEAR, 20)
+        self.fill(MIN_LOCAL_ENGINES, 20)
         self.table.peers_tell_all = False
         self.fill_up_near()
         self.assertEqual(self.centers(self.plan(make_call(2000))), {"south"})
 
     def test_a_light_stream_leaves_a_crowded_centre_for_an_idle_one(self) -> None:
-        self.fill(FEWEST_NEAR, 20)
+        self.fill(MIN_LOCAL_ENGINES, 20)
         self.table.peers_tell_all = False
         for state in self.table.by_id.values():
             if state.listed.data_center == "north":
@@ -167,7 +169,7 @@
             call = make_call(2000)
             plan = self.plan(call)
             self.assertEqual(self.centers(plan), {"north"})
-            self.planner.begin(call, Progress(), plan)
+            self.planner.begin_attempt(call, Progress(), plan)
         for state in self.table.by_id.values():
             if state.listed.data_center == "north":
                 for key in range(-PROFILE.slots, 0):
@@ -192,7 +194,7 @@
         self.assertEqual(used & set(first.values()), set())
 
     def test_a_small_fleet_uses_all(self) -> None:
-        self.fill(FEWEST_NEAR, 20)
+        self.fill(MIN_LOCAL_ENGINES, 20)
         seen = [self.centers(self.plan(make_call(2000))) for _ in range(40)]
         self.assertIn({"south"}, seen)
 
--- a/pondpin/tests/test_relay_rules.py
+++ b/pondpin/tests/test_relay_rules.py
@@ -16,8 +16,8 @@
     check_not_behind,
 )
 from pondpin.relay.attempts.events import EventSplitter
-from pondpin.relay.choosing.retry_window import FEWEST_SHARERS, RetryBounds, RetryWindow
-from pondpin.relay.choosing.routing import find_route, pick_service, shortest_gap
+from pondpin.relay.choosing.retry_window import MIN_INSTANCES, RetryBounds, RetryWindow
+from pondpin.relay.choosing.routing import find_route, pick_service, service_gap_target
 from pondpin.relay.model import (
     ClientAccount,
     RelayConfiguration,
@@ -88,9 +88,9 @@
             make_route("/b/", gap_target=0.2, shares=(ServiceShare("two", 1),)),
             make_route("/c/"),
         )
-        self.assertEqual(shortest_gap(configuration, "one"), 0.6)
-        self.assertEqual(shortest_gap(configuration, "two"), 0.2)
-        self.assertEqual(shortest_gap(configuration, "three"), float("inf"))
+        self.assertEqual(service_gap_target(configuration, "one"), 0.6)
+        self.assertEqual(service_gap_target(configuration, "two"), 0.2)
+        self.assertEqual(service_gap_target(configuration, "three"), float("inf"))
 
     def test_a_split_follows_the_weights(self) -> None:
         shares = (ServiceShare("one", 90), ServiceShare("none", 0), ServiceShare("two", 10))
@@ -227,7 +227,7 @@
         for step in range(200):
             now = step * 0.05
             for window in windows:
-                window.note_request(now)
+                window.record_request(now)
                 requests += 1
                 while window.spend(now, len(windows)):
                     retries += 1
@@ -237,7 +237,7 @@
     def test_an_instance_alone_does_not_take_the_whole_allowance(self) -> None:
         window = RetryWindow(RetryBounds(0.0, 100.0, 10.0))
         taken = sum(window.spend(NOW, 1) for _ in range(200))
-        self.assertLessEqual(taken, 100 / FEWEST_SHARERS)
+        self.assertLessEqual(taken, 100 / MIN_INSTANCES)
 
     def test_the_window_slides(self) -> None:
         window = RetryWindow(RetryBounds(0.0, 40.0, 10.0))
--- a/pondpin/tests/test_suspended.py
+++ b/pondpin/tests/test_suspended.py
@@ -84,7 +84,7 @@
         while window.spend(steady_now(), 1):
             pass
         self.suspend(AWAY_SECONDS + 0.1)
-        self.assertTrue(window.has_left(steady_now(), 1))
+        self.assertTrue(window.has_budget(steady_now(), 1))
 
     def test_a_quarantine_has_lapsed(self) -> None:
         quarantine = Quarantine()
