--- a/pondpin/relay/attempts/admission.py
+++ b/pondpin/relay/attempts/admission.py
@@ -12,7 +12,7 @@
 from pondpin.relay.published.freshness import Proof
 
 # A missing route or key may be new: refusals are final while the version was proved this lately.
-SURE_SECONDS = 1.9
+FRESH_PROOF_SECONDS = 1.9
 # A caller comes back at once to an instance that may have heard what this one, alone, has not.
 RETRY_SECONDS = 0.3
 # While peers are heard and none has a proof, the source is away for all: callers come back spread
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Beliefs:
+class AdmissionState:
     """What an instance goes by when it admits.
 
     key_bound: seconds after its last proof for which the configuration admits keys; None when
@@ -34,10 +34,10 @@
 
     configuration: RelayConfiguration | None
     proof: Proof | None
-    key_bound: float | None
-    hears_peers: bool = False
-    behind: float = 0.0
-    behind_bound: float = math.inf
+    max_proof_age: float | None
+    has_live_peers: bool = False
+    behind_seconds: float = 0.0
+    max_behind_seconds: float = math.inf
 
     def proof_age(self, now: float) -> float:
         """Seconds since the version in force was proved."""
@@ -45,11 +45,11 @@
 
     def accepts_keys(self, now: float) -> bool:
         """Whether keys of the configuration in force may be served."""
-        return self.key_bound is None or self.proof_age(now) < self.key_bound
+        return self.max_proof_age is None or self.proof_age(now) < self.max_proof_age
 
     def retry_seconds(self, request: str) -> float:
         """When a request that no proof lets through had better come back."""
-        if not self.hears_peers:
+        if not self.has_live_peers:
             return RETRY_SECONDS
         share = xxhash.xxh32_intdigest(request.encode()) / HASH_RANGE
         return OUTAGE_RETRY_SECONDS * (0.5 + share)
@@ -63,10 +63,10 @@
     route: Route
     account: str
     rank: int
-    seconds: float
+    timeout: float
 
 
-def admit(beliefs: Beliefs, facts: RequestFacts, path: str, now: float) -> Admitted:
+def admit(beliefs: AdmissionState, facts: RequestFacts, path: str, now: float) -> Admitted:
     """Admit a request, or raise PondpinError with a truthful 'not run'."""
     configuration = beliefs.configuration
     if configuration is None:
@@ -90,7 +90,7 @@
     return Admitted(configuration, route, account, max(0, min(9, rank)), seconds)
 
 
-def check_proof(beliefs: Beliefs, facts: RequestFacts, now: float) -> None:
+def check_proof(beliefs: AdmissionState, facts: RequestFacts, now: float) -> None:
     """Raise PondpinError when the last proof is too old to serve a key by."""
     if not beliefs.accepts_keys(now):
         detail = f"{beliefs.proof_age(now):.2f} s old"
@@ -98,20 +98,20 @@
         raise PondpinError(Code.NOT_PROVED, detail, retry_after=retry_after)
 
 
-def check_not_behind(beliefs: Beliefs) -> None:
+def check_not_behind(beliefs: AdmissionState) -> None:
     """Raise PondpinError when peers have had a newer configuration for too long.
 
     The operators count on it by then, and a peer that has it can serve the request. What was
     admitted before goes on.
     """
-    if beliefs.behind >= beliefs.behind_bound:
-        detail = f"behind a newer configuration for {beliefs.behind:.2f} s"
+    if beliefs.behind_seconds >= beliefs.max_behind_seconds:
+        detail = f"behind a newer configuration for {beliefs.behind_seconds:.2f} s"
         raise PondpinError(Code.NOT_PROVED, detail, retry_after=RETRY_SECONDS)
 
 
-def _missing(code: Code, beliefs: Beliefs, facts: RequestFacts, now: float) -> PondpinError:
+def _missing(code: Code, beliefs: AdmissionState, facts: RequestFacts, now: float) -> PondpinError:
     age = beliefs.proof_age(now)
-    if age < SURE_SECONDS:
+    if age < FRESH_PROOF_SECONDS:
         return PondpinError(code)
     detail = f"{code.name}, but the configuration is {age:.2f} s old"
     retry_after = beliefs.retry_seconds(facts.attempt_id)
--- a/pondpin/relay/attempts/attempt.py
+++ b/pondpin/relay/attempts/attempt.py
@@ -23,38 +23,38 @@
 FIRST_FAILURE = 300
 
 
-class Watcher(Protocol):
+class AttemptObserver(Protocol):
     """Is told what an attempt hears of its upstream."""
 
-    def head(self, head: AnswerHead) -> None:
+    def on_head(self, head: AnswerHead) -> None:
         """The head of the answer came."""
         ...
 
-    def first_event(self) -> None:
+    def on_first_event(self) -> None:
         """The first event of this attempt came."""
         ...
 
-    def heard(self, now: float) -> None:
+    def on_data(self, now: float) -> None:
         """Any byte came."""
         ...
 
-    def silent_until(self, now: float) -> float:
+    def busy_until(self, now: float) -> float:
         """Until when the upstream's silence is explained by what it is known to read."""
         ...
 
-    def is_cut(self, now: float) -> bool:
+    def is_partitioned(self, now: float) -> bool:
         """Whether the upstream is probably out of reach."""
         ...
 
-    async def ask(self) -> bool:
+    async def query_status(self) -> bool:
         """Ask the upstream whether it lives."""
         ...
 
-    def may_go_elsewhere(self) -> bool:
+    def may_retry(self) -> bool:
         """Whether another upstream may still take the request."""
         ...
 
-    def why_not_send(self) -> str:
+    def withhold_reason(self) -> str:
         """Why the request must not be sent at this moment, empty when it may."""
         ...
 
@@ -68,7 +68,7 @@
         progress: Progress,
         clock: Clock,
         begin: Callable[[], None],
-        watcher: Watcher,
+        watcher: AttemptObserver,
     ) -> None:
         self._call = call
         self._progress = progress
@@ -77,14 +77,14 @@
         self._watcher = watcher
         self._splitter = EventSplitter()
         self._seen = False
-        self.heard_at = clock()
+        self.last_data_at = clock()
         self.ended: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self.stream: OpenStream | None = None
 
     def on_data(self, data: bytes) -> None:
         """Take a piece of the body."""
-        self.heard_at = self._clock()
-        self._watcher.heard(self.heard_at)
+        self.last_data_at = self._clock()
+        self._watcher.on_data(self.last_data_at)
         try:
             events = self._splitter.feed(data)
         except ValueError:
@@ -95,10 +95,10 @@
             return
         if not self._seen:
             self._seen = True
-            self._watcher.first_event()
+            self._watcher.on_first_event()
         self._begin()
         for item in fresh:
-            self._progress.note_event(item.number, self.heard_at)
+            self._progress.note_event(item.number, self.last_data_at)
         self._call.reply.write(b"".join(item.data for item in fresh))
 
     def _is_new(self, number: int) -> bool:
@@ -106,14 +106,14 @@
 
     def on_end(self, whole: bool) -> None:
         """Take the end; half an event at the end means that the answer was cut."""
-        self._finish(whole and not self._splitter.has_rest)
+        self._finish(whole and not self._splitter.has_partial)
 
     def _finish(self, whole: bool) -> None:
         if not self.ended.done():
             self.ended.set_result(whole)
 
 
-class Attempts:
+class AttemptRunner:
     """Runs attempts over HTTP."""
 
     def __init__(self, http: HttpClient, dialect: Dialect, clock: Clock) -> None:
@@ -128,7 +128,7 @@
         parts: tuple[PartPlace, ...],
         progress: Progress,
         patience: StallTimeouts,
-        watcher: Watcher,
+        watcher: AttemptObserver,
     ) -> AttemptEnd:
         """Make the attempt. Never raises but for cancellation, which drops the connection."""
         began = self._clock()
@@ -143,7 +143,7 @@
         if start is None:
             return AttemptEnd(EndKind.STALLED, "no answer in time")
         head = self._dialect.read_head(start.status, start.raw_headers)
-        watcher.head(head)
+        watcher.on_head(head)
         fault = self._check_head(call, head)
         if fault:
             start.abort()
@@ -157,14 +157,16 @@
         call: RelayCall,
         exact: ExactCall,
         patience: StallTimeouts,
-        watcher: Watcher,
+        watcher: AttemptObserver,
         began: float,
     ) -> StreamStart | None:
         """Send and wait for the head; None when patience or time is over."""
         # A call that may not be repeated gets a new connection: failing to connect then
         # proves that nothing was sent.
         fresh = not call.route.idempotent
-        opening = asyncio.ensure_future(self._http.open_exact(exact, fresh, watcher.why_not_send))
+        opening = asyncio.ensure_future(
+            self._http.open_exact(exact, fresh, watcher.withhold_reason)
+        )
         try:
             while True:
                 left = self._time_left(call, patience.first_event_seconds, began, watcher)
@@ -207,17 +209,17 @@
         )
 
     async def _is_given_up(
-        self, patience: StallTimeouts, watcher: Watcher, heard_at: float
+        self, patience: StallTimeouts, watcher: AttemptObserver, heard_at: float
     ) -> bool:
         """Ask an upstream that has been silent for long; True when it does not answer and another
         one may take the request.
         """
         if patience.query_seconds is None or self._clock() - heard_at < patience.query_seconds:
             return False
-        return not await watcher.ask() and watcher.may_go_elsewhere()
+        return not await watcher.query_status() and watcher.may_retry()
 
     def _time_left(
-        self, call: RelayCall, limit: float | None, heard_at: float, watcher: Watcher
+        self, call: RelayCall, limit: float | None, heard_at: float, watcher: AttemptObserver
     ) -> float:
         """Seconds until an attempt counts as stalled.
 
@@ -228,7 +230,7 @@
             return self._limit(call, None, heard_at)
         explained = self._explained_limit(call, heard_at, limit, watcher)
         left = self._limit(call, explained, heard_at)
-        if left <= 0 and not watcher.may_go_elsewhere():
+        if left <= 0 and not watcher.may_retry():
             return self._limit(call, None, heard_at)
         return left
 
@@ -269,7 +271,7 @@
         head: AnswerHead,
         progress: Progress,
         patience: StallTimeouts,
-        watcher: Watcher,
+        watcher: AttemptObserver,
         began: float,
     ) -> AttemptEnd:
         def begin() -> None:
@@ -278,7 +280,7 @@
                 call.reply.start_exact(head.status, head.headers)
 
         sink = EventSink(call, progress, self._clock, begin, watcher)
-        sink.heard_at = began
+        sink.last_data_at = began
         stream = start.deliver(sink)
         sink.stream = stream
         call.reply.follow(stream)
@@ -301,7 +303,7 @@
         sink: EventSink,
         progress: Progress,
         patience: StallTimeouts,
-        watcher: Watcher,
+        watcher: AttemptObserver,
     ) -> bool | None:
         """Whether the stream ended whole; None when it stalled or the deadline passed."""
         before = progress.events
@@ -309,21 +311,21 @@
             limit = (
                 patience.first_event_seconds if progress.events == before else patience.gap_seconds
             )
-            left = self._time_left(call, limit, sink.heard_at, watcher)
+            left = self._time_left(call, limit, sink.last_data_at, watcher)
             if left <= 0:
                 return None
             done, _ = await asyncio.wait((sink.ended,), timeout=min(left, LOOK_SECONDS))
             if done:
                 return sink.ended.result()
-            if await self._is_given_up(patience, watcher, sink.heard_at):
+            if await self._is_given_up(patience, watcher, sink.last_data_at):
                 return None
 
     def _explained_limit(
-        self, call: RelayCall, heard_at: float, limit: float, watcher: Watcher
+        self, call: RelayCall, heard_at: float, limit: float, watcher: AttemptObserver
     ) -> float:
         """The patience with a silent upstream, by what is known of it."""
         now = self._clock()
-        if watcher.is_cut(now):
+        if watcher.is_partitioned(now):
             return min(limit, CUT_SECONDS)
-        explained = watcher.silent_until(now) - heard_at
+        explained = watcher.busy_until(now) - heard_at
         return max(limit, min(explained, LONGEST_SHARE * call.patience))
--- a/pondpin/relay/attempts/attempt_ends.py
+++ b/pondpin/relay/attempts/attempt_ends.py
@@ -21,7 +21,7 @@
     return None
 
 
-def keep_true(error: PondpinError, progress: Progress) -> PondpinError:
+def correct_ran(error: PondpinError, progress: Progress) -> PondpinError:
     """An error that ends a later attempt must not say that the request has not run."""
     if not progress.may_have_run or error.ran is not Ran.NOT_RUN:
         return error
--- a/pondpin/relay/attempts/crash_guard.py
+++ b/pondpin/relay/attempts/crash_guard.py
@@ -18,8 +18,8 @@
 )
 from pondpin.relay.attempts.attempt_ends import helper_at_fault
 from pondpin.relay.attempts.life_watch import (
-    LifeWatch,
     Run,
+    RunTracker,
 )
 from pondpin.relay.call import AttemptEnd, EndKind, Progress, RelayCall
 from pondpin.relay.choosing.planner import Plan, RelayPolicy
@@ -30,7 +30,7 @@
 if TYPE_CHECKING:
     from pondpin.relay.attempts.quarantine_records import QuarantineRecords
 
-LOOK_SECONDS = 0.02
+POLL_SECONDS = 0.02
 # An instance that starts waits so long for a peer's digest, and for what that peer sends: digests
 # come every 0.2 s.
 START_SECONDS = 0.3
@@ -40,8 +40,8 @@
 class CrashGuard:
     """The quarantine of an instance that relays."""
 
-    news: QuarantineNews
-    lives: LifeWatch
+    quarantine_sync: QuarantineNews
+    tracker: RunTracker
     table: UpstreamTable
     turn: Turn
     list_at: Callable[[], float | None]
@@ -50,10 +50,12 @@
 
     def __post_init__(self) -> None:
         """Hear of ends."""
-        self.quarantine: Quarantine = self.news.quarantine
-        self.clock: Clock = self.lives.clock
-        self.lives.on_end = lambda seen: self.records.note_end(seen)
-        self.news.on_heard = lambda source, ends: self.records.note_heard(source, ends)
+        self.quarantine: Quarantine = self.quarantine_sync.quarantine
+        self.clock: Clock = self.tracker.clock
+        self.tracker.on_end = lambda seen: self.records.record_end(seen)
+        self.quarantine_sync.on_heard = lambda source, ends: self.records.record_peer_ends(
+            source, ends
+        )
         self._made_at = self.clock()
 
     async def admit(self, call: RelayCall, progress: Progress) -> None:
@@ -62,8 +64,8 @@
         Sets what placement must heed: whether it is suspect, and which software it may not meet.
         """
         while not self._knows_peers():
-            await asyncio.sleep(LOOK_SECONDS)
-        if self.knows_ends:
+            await asyncio.sleep(POLL_SECONDS)
+        if self.has_ends:
             await self.records.admit(call, progress)
         else:
             progress.suspected = False
@@ -71,13 +73,13 @@
 
     def _knows_peers(self) -> bool:
         """Whether peers had the time to tell what they know since this instance started."""
-        if self.news.is_told or not self.news.hosts():
+        if self.quarantine_sync.is_told or not self.quarantine_sync.hosts():
             # All reachable peers have told what they know.
             return True
         return self.clock() - self._made_at >= START_SECONDS
 
     @property
-    def knows_ends(self) -> bool:
+    def has_ends(self) -> bool:
         """Whether any request was running where an upstream ended, and verdicts are on."""
         return bool(self.quarantine.ends_by_identity) and self.policy.has(Mechanism.QUARANTINE)
 
@@ -86,9 +88,9 @@
 
         is_begun: the run that goes on is its own.
         """
-        return self.records.outdated(call, progress, is_begun) if self.knows_ends else ""
+        return self.records.outdated(call, progress, is_begun) if self.has_ends else ""
 
-    def shunned(self) -> frozenset[int]:
+    def avoided_lives(self) -> frozenset[int]:
         """Lives of upstreams that others had better keep off for a moment."""
         if not self.policy.has(Mechanism.QUARANTINE):
             return frozenset()
@@ -99,27 +101,27 @@
         if progress.suspected:
             self.metrics.suspected.inc({"service": call.service})
             identity, life = call.identity, plan.lead.life
-            self.quarantine.begin_run(identity, self.news.instance, life, self.clock())
-            self.news.running[identity] = life
-            self.news.tell()
+            self.quarantine.begin_run(identity, self.quarantine_sync.instance, life, self.clock())
+            self.quarantine_sync.running[identity] = life
+            self.quarantine_sync.tell()
         reading = plan.choice.part_seconds if plan.choice is not None else 0.0
-        return self.lives.begin(call.identity, (plan.lead, *plan.helpers), reading)
+        return self.tracker.begin(call.identity, (plan.lead, *plan.helpers), reading)
 
     def _end(self, call: RelayCall, progress: Progress) -> None:
         """A suspect's run is over, and what it led to was told."""
         identity = call.identity
-        if not progress.suspected or identity not in self.news.running:
+        if not progress.suspected or identity not in self.quarantine_sync.running:
             return
-        self.quarantine.end_run(identity, self.news.instance)
-        del self.news.running[identity]
-        self.news.tell()
+        self.quarantine.end_run(identity, self.quarantine_sync.instance)
+        del self.quarantine_sync.running[identity]
+        self.quarantine_sync.tell()
 
-    def leave(self, call: RelayCall, progress: Progress, run: Run) -> None:
+    def abandon(self, call: RelayCall, progress: Progress, run: Run) -> None:
         """Its caller left, or its attempt failed here."""
-        self.lives.leave(run)
+        self.tracker.abandon(run)
         self._end(call, progress)
 
-    async def look_after(
+    async def finish(
         self, call: RelayCall, progress: Progress, plan: Plan, end: AttemptEnd, run: Run
     ) -> None:
         """Find out what an attempt's end says of the upstream's life, and of the request."""
@@ -131,24 +133,24 @@
         if end.kind in (EndKind.DONE, EndKind.ANSWERED):
             cleared = self.quarantine.note_good(call.identity, self.clock())
             if cleared:
-                self.records.untold += cleared
+                self.records.unsent += cleared
 
     async def _look(self, plan: Plan, end: AttemptEnd, run: Run) -> None:
         helper = helper_at_fault(plan, end)
         if end.kind is EndKind.BROKEN:
-            await self.lives.look(run, plan.lead)
+            await self.tracker.check(run, plan.lead)
         elif helper is not None:
-            await self.lives.look(run, helper)
+            await self.tracker.check(run, helper)
         elif end.kind is EndKind.STALLED:
-            self.lives.leave(run)
+            self.tracker.abandon(run)
         else:
-            self.lives.complete(run)
+            self.tracker.complete(run)
         if end.kind is EndKind.NOT_SENT and end.refused:
-            self.lives.note_refused(plan.lead)
+            self.tracker.record_refused(plan.lead)
 
-    def may_try_again(self, call: RelayCall, end: AttemptEnd) -> bool:
+    def allows_retry(self, call: RelayCall, end: AttemptEnd) -> bool:
         """Whether another upstream may get a request after an attempt."""
-        return self.records.may_try_again(call, end) if self.knows_ends else True
+        return self.records.allows_retry(call, end) if self.has_ends else True
 
     @cached_property
     def records(self) -> "QuarantineRecords":
@@ -156,14 +158,14 @@
         from pondpin.relay.attempts.quarantine_records import QuarantineRecords
 
         return QuarantineRecords(
-            self.news, self.lives, self.table, self.turn, self.list_at, self.metrics
+            self.quarantine_sync, self.tracker, self.table, self.turn, self.list_at, self.metrics
         )
 
     def step(self, now: float) -> None:
         """Settle and forget ends."""
-        self.lives.note_unlisted()
-        self.lives.prune(now)
-        self.news.forget(now)
+        self.tracker.record_unlisted()
+        self.tracker.prune(now)
+        self.quarantine_sync.forget(now)
         if self.quarantine.ends_by_identity or "records" in self.__dict__:
             self.records.settle(now)
         self.quarantine.prune(now)
--- a/pondpin/relay/attempts/events.py
+++ b/pondpin/relay/attempts/events.py
@@ -20,7 +20,7 @@
         self._rest = b""
 
     @property
-    def has_rest(self) -> bool:
+    def has_partial(self) -> bool:
         """Whether part of an event was received."""
         return bool(self._rest.strip())
 
--- a/pondpin/relay/attempts/handler.py
+++ b/pondpin/relay/attempts/handler.py
@@ -12,26 +12,26 @@
 from pondpin.http_reply import Incoming, Reply
 from pondpin.metrics import Metrics
 from pondpin.relay.attempts.admission import (
+    AdmissionState,
     Admitted,
-    Beliefs,
     admit,
     check_not_behind,
 )
-from pondpin.relay.attempts.attempt import Attempts
+from pondpin.relay.attempts.attempt import AttemptRunner
 from pondpin.relay.attempts.attempt_ends import (
     FIRST_SERVER_ERROR,
+    correct_ran,
     final_error,
     helper_at_fault,
     is_retryable_answer,
-    keep_true,
     send_refusal,
 )
 from pondpin.relay.attempts.crash_guard import CrashGuard
 from pondpin.relay.attempts.life_watch import Run
-from pondpin.relay.attempts.placing import Placing
-from pondpin.relay.attempts.request_notes import RequestNotes
-from pondpin.relay.attempts.send_guards import SendGuards
-from pondpin.relay.attempts.upstream_judge import UpstreamJudge
+from pondpin.relay.attempts.placing import Placer
+from pondpin.relay.attempts.request_notes import RequestLog
+from pondpin.relay.attempts.send_guards import SendChecks
+from pondpin.relay.attempts.upstream_judge import PassiveHealth
 from pondpin.relay.call import AttemptEnd, EndKind, Progress, RelayCall
 from pondpin.relay.choosing.patience import stall_timeouts_for
 from pondpin.relay.choosing.planner import Plan, Planner, RelayPolicy
@@ -63,19 +63,19 @@
     """Takes requests off the callers' server and relays them."""
 
     dialect: Dialect
-    attempts: Attempts
+    runner: AttemptRunner
     planner: Planner
-    placing: Placing
+    placer: Placer
     table: UpstreamTable
     leases: Callable[[], "Leases"]
     reports: Callable[[], "Reports"]
-    hearing: Hearing
-    guards: SendGuards
-    guard: CrashGuard
+    notice_handler: Hearing
+    send_checks: SendChecks
+    crash_guard: CrashGuard
     identity_key: bytes
     policy: RelayPolicy
-    beliefs: Callable[[], Beliefs]
-    sharers: Callable[[], int]
+    admission_state: Callable[[], AdmissionState]
+    instance_count: Callable[[], int]
     retry_bounds: Callable[[], RetryBounds]
     log: EventLog
     metrics: Metrics
@@ -86,8 +86,10 @@
     def __post_init__(self) -> None:
         """Set up the state."""
         self.open_requests = 0
-        self.notes = RequestNotes(self.log, self.metrics, self.clock)
-        self._judge = UpstreamJudge(self.table, self.hearing, self.metrics, self.log, self.clock)
+        self.request_log = RequestLog(self.log, self.metrics, self.clock)
+        self._judge = PassiveHealth(
+            self.table, self.notice_handler, self.metrics, self.log, self.clock
+        )
         self._windows: dict[str, RetryWindow] = {}
 
     async def handle(self, incoming: Incoming, reply: Reply) -> None:
@@ -99,7 +101,7 @@
         try:
             if self.refuses_new(arrived):
                 raise PondpinError(Code.DRAINING, retry_after=STOPPING_RETRY_SECONDS)
-            beliefs = self.beliefs()
+            beliefs = self.admission_state()
             check_not_behind(beliefs)
             admitted = admit(beliefs, facts, incoming.path, arrived)
             route = admitted.route
@@ -107,7 +109,7 @@
             self._window(call.service).record_request(arrived)
             await self._serve_unless_gone(call)
         except PondpinError as error:
-            self.notes.refused(facts, route, error, arrived, self.beliefs())
+            self.request_log.refused(facts, route, error, arrived, self.admission_state())
             send_refusal(reply, facts.attempt_id, error)
         finally:
             self.open_requests -= 1
@@ -130,7 +132,7 @@
             rank=admitted.rank,
             configuration=admitted.configuration,
             arrived=arrived,
-            deadline=arrived + admitted.seconds,
+            deadline=arrived + admitted.timeout,
             identity=identify(
                 self.identity_key, admitted.account, facts.host, incoming.target, incoming.body
             ),
@@ -145,7 +147,7 @@
         """
         await asyncio.sleep(0)
         if call.reply.gone:
-            self.notes.caller_gone(call)
+            self.request_log.caller_gone(call)
             return
         task = asyncio.ensure_future(self._serve(call))
         if call.route.kind is not RouteKind.UNSAFE:
@@ -156,69 +158,69 @@
             if not task.cancelled():
                 task.cancel()
                 raise
-            self.notes.caller_gone(call)
+            self.request_log.caller_gone(call)
 
     async def _serve(self, call: RelayCall) -> None:
         progress = Progress(last_number=call.resumes_after)
         try:
             await self._serve_by_attempts(call, progress)
         finally:
-            self.placing.drop_permit(progress)
+            self.placer.release_permit(progress)
 
     async def _serve_by_attempts(self, call: RelayCall, progress: Progress) -> None:
         while True:
             try:
                 end = await self._attempt(call, progress)
             except PondpinError as error:
-                raise keep_true(error, progress) from None
+                raise correct_ran(error, progress) from None
             # Release the unused permit before retrying elsewhere.
-            self.placing.drop_permit(progress)
+            self.placer.release_permit(progress)
             progress.may_have_run = progress.may_have_run or end.may_have_run
             progress.sends += end.was_sent
             if end.kind is EndKind.DONE:
                 self._finish_stream(call, progress)
                 return
             why_not = self._why_not_again(call, progress, end)
-            self.notes.attempt_ended(call, progress, end, why_not)
+            self.request_log.attempt_ended(call, progress, end, why_not)
             if not why_not:
                 continue
             if end.answer is not None and not progress.head_sent:
                 self._send_whole(call, progress, end)
                 return
             if why_not == NOBODY and not progress.may_have_run:
-                raise self.placing.nobody(call, progress)
+                raise self.placer.unavailable_error(call, progress)
             raise final_error(call, progress, end, self.clock())
 
     async def _attempt(self, call: RelayCall, progress: Progress) -> AttemptEnd:
         """Plan and run one attempt; raises PondpinError when nothing can take the request."""
-        plan, group = await self.placing.place(call, progress)
+        plan, group = await self.placer.place(call, progress)
         key = self.planner.begin_attempt(call, progress, plan)
         keeper = self._keep_leases(group, plan, progress)
         progress.upstream, progress.life = plan.lead.id, plan.lead.life
         began = self.clock()
-        run = self.guard.begin(call, progress, plan)
+        run = self.crash_guard.begin(call, progress, plan)
         try:
-            self.guards.check_key(call)
+            self.send_checks.check_key(call)
             progress.attempts += 1
-            self.notes.placed(call, progress, plan, group, self.beliefs())
-            end = await self.attempts.run(
+            self.request_log.placed(call, progress, plan, group, self.admission_state())
+            end = await self.runner.run(
                 call,
                 plan,
                 group.places if group is not None else plan.helper_endpoints,
                 progress,
-                stall_timeouts_for(call, plan, self.policy, self.may_go_elsewhere(call, progress)),
+                stall_timeouts_for(call, plan, self.policy, self.may_retry(call, progress)),
                 _Watcher(self, call, progress, plan, key, run),
             )
         except BaseException:
-            self.guard.leave(call, progress, run)
+            self.crash_guard.abandon(call, progress, run)
             raise
         finally:
             self.planner.end_attempt(plan, key)
             if keeper is not None and group is not None:
                 keeper.cancel()
                 self.leases().release(group)
-        self._judge.judge_end(plan, end, began)
-        await self.guard.look_after(call, progress, plan, end, run)
+        self._judge.observe_end(plan, end, began)
+        await self.crash_guard.finish(call, progress, plan, end, run)
         helper = helper_at_fault(plan, end)
         if helper is not None:
             progress.tried |= {helper.life}
@@ -234,7 +236,7 @@
         keeping = self.leases().keep(group, first_event, lambda: progress.events > before)
         return asyncio.ensure_future(keeping)
 
-    def may_go_elsewhere(self, call: RelayCall, progress: Progress) -> bool:
+    def may_retry(self, call: RelayCall, progress: Progress) -> bool:
         """Whether another attempt could follow the present one, by what is in force now."""
         if progress.sends + 1 >= call.route.attempts or progress.attempts >= MOST_ATTEMPTS:
             return False
@@ -242,11 +244,11 @@
             # It may still run where it is, and runs at one upstream at a time.
             return False
         try:
-            self.guards.check_key(call)
+            self.send_checks.check_key(call)
         except PondpinError:
             # The reason is logged when the request ends.
             return False
-        return self._window(call.service).has_budget(self.clock(), self.sharers())
+        return self._window(call.service).has_budget(self.clock(), self.instance_count())
 
     def _why_not_again(self, call: RelayCall, progress: Progress, end: AttemptEnd) -> str:
         """Why no other upstream may get the request now, empty when one may; spends the budget."""
@@ -263,7 +265,7 @@
             (progress.may_have_run and not call.route.idempotent, "it may not run twice"),
             (used_up, "its attempts are used up"),
             (now >= call.deadline, "its time is over"),
-            (not self.guard.may_try_again(call, end), "upstreams ended under it"),
+            (not self.crash_guard.allows_retry(call, end), "upstreams ended under it"),
             (not self.table.usable(call.service, now, progress.tried), NOBODY),
         )
         for holds, reason in bars:
@@ -272,14 +274,14 @@
         # Not a retry: the request never reached an upstream.
         if not progress.sends or is_withheld:
             return ""
-        if not self._window(call.service).spend(now, self.sharers()):
+        if not self._window(call.service).spend(now, self.instance_count()):
             return "the share of retries is spent"
         self.metrics.retries.inc({"service": call.service, "after": end.kind.value})
         return ""
 
-    def note_head(self, plan: Plan, head: AnswerHead, asked_at: float) -> None:
+    def on_head(self, plan: Plan, head: AnswerHead, asked_at: float) -> None:
         """The head of an answer came, to a request that was placed at a moment."""
-        self._judge.note_head(plan, head, asked_at)
+        self._judge.observe_head(plan, head, asked_at)
 
     def _send_whole(self, call: RelayCall, progress: Progress, end: AttemptEnd) -> None:
         answer = end.answer
@@ -287,11 +289,11 @@
         progress.first_at = self.clock()
         call.reply.send_exact(answer.status, answer.headers, answer.body)
         code = Code.OK if answer.status < FIRST_SERVER_ERROR else Code.UPSTREAM_REFUSED
-        self.notes.ended(call, progress, answer.status, code)
+        self.request_log.ended(call, progress, answer.status, code)
 
     def _finish_stream(self, call: RelayCall, progress: Progress) -> None:
         call.reply.finish()
-        self.notes.ended(call, progress, 200, Code.OK)
+        self.request_log.ended(call, progress, 200, Code.OK)
 
     def _window(self, service: str) -> RetryWindow:
         window = self._windows.get(service)
@@ -312,36 +314,38 @@
     key: int
     run: Run
 
-    def head(self, head: AnswerHead) -> None:
+    def on_head(self, head: AnswerHead) -> None:
         """See Watcher."""
-        self.handler.note_head(self.plan, head, self.run.began)
+        self.handler.on_head(self.plan, head, self.run.began)
 
-    def first_event(self) -> None:
+    def on_first_event(self) -> None:
         """See Watcher."""
         self.run.answered_at = self.handler.clock()
         self.handler.planner.record_first_event(self.plan, self.key)
 
-    def heard(self, now: float) -> None:
+    def on_data(self, now: float) -> None:
         """See Watcher."""
-        self.plan.lead.heard_at = self.run.heard_at = now
+        self.plan.lead.heard_at = self.run.last_data_at = now
 
-    def silent_until(self, now: float) -> float:
+    def busy_until(self, now: float) -> float:
         """See Watcher."""
         return self.plan.lead.reads_until(now) + READING_SLACK_SECONDS
 
-    async def ask(self) -> bool:
+    async def query_status(self) -> bool:
         """See Watcher."""
         return await self.handler.reports().ask(self.plan.lead)
 
-    def may_go_elsewhere(self) -> bool:
+    def may_retry(self) -> bool:
         """See Watcher."""
-        return self.handler.may_go_elsewhere(self.call, self.progress)
+        return self.handler.may_retry(self.call, self.progress)
 
-    def why_not_send(self) -> str:
+    def withhold_reason(self) -> str:
         """See Watcher."""
-        return self.handler.guards.why_not(self.call, self.progress, self.plan, is_begun=True)
+        return self.handler.send_checks.withhold_reason(
+            self.call, self.progress, self.plan, is_begun=True
+        )
 
-    def is_cut(self, now: float) -> bool:
+    def is_partitioned(self, now: float) -> bool:
         """See Watcher."""
         lead = self.plan.lead
         return lead.ended or lead.needs_probe or self.handler.table.is_cut(lead, now)
--- a/pondpin/relay/attempts/life_looks.py
+++ b/pondpin/relay/attempts/life_looks.py
@@ -5,11 +5,11 @@
 
 from pondpin.http_client import Reach
 from pondpin.relay.attempts.life_watch import (
-    LEFT_SECONDS,
-    LISTED_SECONDS,
-    EndSeen,
-    LifeWatch,
+    LATE_START_SECONDS,
+    LIST_LAG_SECONDS,
+    ObservedEnd,
     Run,
+    RunTracker,
 )
 from pondpin.relay.log_events import UpstreamEnded
 from pondpin.relay.upstreams.state import UpstreamState
@@ -20,22 +20,22 @@
 MILLISECONDS = 1000
 
 
-class LifeLooks:
+class LivenessChecks:
     """Connects to upstreams that requests lost, for the life watch whose requests they are."""
 
-    def __init__(self, watch: LifeWatch) -> None:
+    def __init__(self, watch: RunTracker) -> None:
         self._watch = watch
         self._looks_by_life: dict[int, asyncio.Task[None]] = {}
 
-    async def look(self, run: Run, state: UpstreamState) -> None:
+    async def check(self, run: Run, state: UpstreamState) -> None:
         """A request broke off: find out whether its upstream's life has ended."""
-        run.left_at = self._watch.clock()
+        run.ended_at = self._watch.clock()
         # A worker may also leave by taking its entry away: its end is planned then.
-        run.broke = self._watch.table.is_in_service(state)
-        if run.broke:
-            await asyncio.wait((self.begin_look(state),), timeout=ANSWER_SECONDS)
+        run.broken = self._watch.table.is_in_service(state)
+        if run.broken:
+            await asyncio.wait((self.start_check(state),), timeout=ANSWER_SECONDS)
 
-    def begin_look(self, state: UpstreamState) -> "asyncio.Task[None]":
+    def start_check(self, state: UpstreamState) -> "asyncio.Task[None]":
         """Connect to an upstream; requests that broke off together share the answer."""
         task = self._looks_by_life.get(state.life)
         if task is None:
@@ -57,44 +57,46 @@
             )
         )
         if answer is Reach.REFUSED and self._watch.table.is_in_service(state):
-            self.note_refused(state)
+            self.record_refused(state)
 
-    def note_refused(self, state: UpstreamState) -> None:
+    def record_refused(self, state: UpstreamState) -> None:
         """Nobody listens at an upstream's place: those that were there a moment ago are noted."""
-        self._end(state, LEFT_SECONDS, lambda run: True)
+        self._end(state, LATE_START_SECONDS, lambda run: True)
 
-    def note_unlisted(self) -> None:
+    def record_unlisted(self) -> None:
         """Note the ends of lives that are listed no more since requests broke off there."""
         broken = {
-            run.places[0].life: run.places[0]
+            run.upstreams[0].life: run.upstreams[0]
             for runs in self._watch.runs_by_life.values()
             for run in runs
-            if run.broke and self._watch.table.by_life(run.places[0].life) is None
+            if run.broken and self._watch.table.by_life(run.upstreams[0].life) is None
         }
         for state in broken.values():
-            self._end(state, LISTED_SECONDS, lambda run: run.broke)
+            self._end(state, LIST_LAG_SECONDS, lambda run: run.broken)
 
     def _end(self, state: UpstreamState, seconds: float, counts: Callable[[Run], bool]) -> None:
         now = self._watch.clock()
         runs = self._watch.runs_by_life.pop(state.life, [])
-        found = tuple(run for run in runs if run.was_there(now, seconds) and counts(run))
+        found = tuple(run for run in runs if run.was_running(now, seconds) and counts(run))
         # One that is still open may yet show that the life goes on.
-        still_open = [run for run in runs if run.left_at is None]
+        still_open = [run for run in runs if run.ended_at is None]
         if still_open:
             self._watch.runs_by_life[state.life] = still_open
         if found:
-            self._watch.on_end(EndSeen(state, now, found))
+            self._watch.on_end(ObservedEnd(state, now, found))
 
-    def goes_on(self, life: int, since: float) -> bool:
+    def active_since(self, life: int, since: float) -> bool:
         """Whether a request that it answers, from before a moment, was heard of after it.
 
         A word on a new connection would not do: it may be a later life's at the same place. Nor
         a stream of which it has read a part: its lead writes on.
         """
         runs = self._watch.runs_by_life.get(life, ())
-        return any(run.began < since < run.heard_at and run.leads(life) for run in runs)
+        return any(
+            run.began < since < run.last_data_at and run.is_answered_by(life) for run in runs
+        )
 
 
 def _tell(run: Run, now: float) -> str:
     since = round((now - run.began) * MILLISECONDS)
-    return f"{show(run.identity)} {since} ms{' just begun' if run.was_begun_then(now) else ''}"
+    return f"{show(run.identity)} {since} ms{' just begun' if run.may_be_starting(now) else ''}"
--- a/pondpin/relay/attempts/permit_taking.py
+++ b/pondpin/relay/attempts/permit_taking.py
@@ -17,11 +17,11 @@
 PERMIT_WAIT_SHARE = 0.5
 # A limited upstream that nobody has heard for so long may take more by now: a request goes there to
 # hear it. Within this a service that turns away by its limit is used whole again.
-UNHEARD_SECONDS = 3.0
+LIMIT_RECHECK_SECONDS = 3.0
 
 
 @dataclass
-class PermitTaking:
+class PermitAcquirer:
     """The permits of this instance's requests."""
 
     permits: Permits
@@ -29,7 +29,7 @@
     clock: Clock
     _looked_at_by_life: dict[int, float] = field(default_factory=dict)
 
-    async def take(self, call: RelayCall, progress: Progress, avoid: frozenset[int]) -> bool:
+    async def acquire(self, call: RelayCall, progress: Progress, avoid: frozenset[int]) -> bool:
         """Get a permit for a request that has no other place.
 
         It waits for one that comes while its answer can still be in time; nothing queues behind.
@@ -47,7 +47,7 @@
             await asyncio.sleep(max(0.0, found.at - self.clock()))
         return got
 
-    async def look_again(self, call: RelayCall, progress: Progress) -> None:
+    async def recheck_limit(self, call: RelayCall, progress: Progress) -> None:
         """Send a first try to a limited upstream that nobody has heard for a while.
 
         Its home may have no requests of its own, and where others are free nobody asks for permits:
@@ -71,16 +71,16 @@
         if word is None:
             return False
         looked_at = self._looked_at_by_life.get(state.life, word.heard_at)
-        return self.clock() - max(word.heard_at, looked_at) > UNHEARD_SECONDS
+        return self.clock() - max(word.heard_at, looked_at) > LIMIT_RECHECK_SECONDS
 
-    def drop(self, progress: Progress) -> None:
+    def release(self, progress: Progress) -> None:
         """Give back a permit that was not spent."""
         if progress.permit is not None:
             self.permits.give_back(progress.permit)
             self.metrics.permits.inc({"result": "given back"})
             progress.permit = None
 
-    def back_in(self, call: RelayCall, progress: Progress) -> float | None:
+    def retry_after(self, call: RelayCall, progress: Progress) -> float | None:
         """Seconds until the first permit for a request; None where no limited one is left."""
         limited = self.permits.desk.limited(call.service, progress.tried)
         if not limited:
--- a/pondpin/relay/attempts/placing.py
+++ b/pondpin/relay/attempts/placing.py
@@ -10,7 +10,7 @@
 from pondpin.codes import Code
 from pondpin.errors import PondpinError
 from pondpin.relay.attempts.attempt_ends import RETRY_SECONDS
-from pondpin.relay.attempts.send_guards import SendGuards
+from pondpin.relay.attempts.send_guards import SendChecks
 from pondpin.relay.call import Progress, RelayCall
 from pondpin.relay.choosing.jobs import make_job
 from pondpin.relay.choosing.planner import Plan, Planner
@@ -20,13 +20,13 @@
 from pondpin.standing import Bar, nobody_left
 
 if TYPE_CHECKING:
-    from pondpin.relay.attempts.permit_taking import PermitTaking
+    from pondpin.relay.attempts.permit_taking import PermitAcquirer
     from pondpin.relay.upstreams.leases import LeaseGroup, Leases
 
 # Groups of leases asked for before a request is refused for want of memory.
 LEASE_TRIES = 3
 # A request waits for a rest that ends within this share of what is left of its target.
-WAIT_SHARE = 0.25
+REST_WAIT_SHARE = 0.25
 WAKE_SECONDS = 0.001
 # While upstreams come back bit by bit, those that wait look this often: half a usual answer.
 RETURN_LOOK_SECONDS = 0.05
@@ -35,31 +35,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Placing:
+class Placer:
     """Plans attempts; raises PondpinError when nothing can take a request."""
 
     planner: Planner
     turns: Dispatcher
     leases: Callable[[], "Leases"]
-    guards: SendGuards
+    send_checks: SendChecks
     table: UpstreamTable
-    permits: Callable[[], "PermitTaking"]
+    permits: Callable[[], "PermitAcquirer"]
     clock: Clock
     rng: random.Random
 
     async def place(self, call: RelayCall, progress: Progress) -> tuple[Plan, "LeaseGroup | None"]:
         """Plan by what holds when the plan is made; a long prompt may wait for it."""
         while True:
-            await self.guards.guard.admit(call, progress)
+            await self.send_checks.crash_guard.admit(call, progress)
             plan, group = await self._plan(call, progress)
-            if not self.guards.why_not(call, progress, plan, is_begun=False):
+            if not self.send_checks.withhold_reason(call, progress, plan, is_begun=False):
                 return plan, group
             if group is not None:
                 self.leases().release(group)
             # A key that holds no more ends the request with its own error.
-            self.guards.check_key(call)
+            self.send_checks.check_key(call)
             if self.clock() >= call.deadline:
-                raise self.nobody(call, progress)
+                raise self.unavailable_error(call, progress)
             # Plan and guards go by the same beliefs; should they ever differ, others go on.
             await asyncio.sleep(0)
 
@@ -82,9 +82,9 @@
     ) -> Plan:
         """Plan; where nobody takes a request but somebody will in a moment, wait for that."""
         if self._has_limited(call):
-            await self.permits().look_again(call, progress)
+            await self.permits().recheck_limit(call, progress)
         while True:
-            shunned = self.guards.guard.shunned()
+            shunned = self.send_checks.crash_guard.avoided_lives()
             plan = await self._plan_when_free(call, progress, avoid | shunned)
             if plan is None and shunned:
                 # Beside a suspect is better than nowhere.
@@ -94,14 +94,14 @@
             if progress.permit is not None:
                 # Its upstream has no place for this request after all.
                 avoid |= {progress.permit.life}
-                self.drop_permit(progress)
-            if self._has_limited(call) and await self.permits().take(call, progress, avoid):
+                self.release_permit(progress)
+            if self._has_limited(call) and await self.permits().acquire(call, progress, avoid):
                 continue
             if plan is not None:
                 return plan
             wait = self._worth_waiting(call, progress)
             if wait is None:
-                raise self.nobody(call, progress)
+                raise self.unavailable_error(call, progress)
             await asyncio.sleep(wait)
 
     def _has_limited(self, call: RelayCall) -> bool:
@@ -110,10 +110,10 @@
             return False
         return any(state.is_limited for state in self.table.of_service(call.service))
 
-    def drop_permit(self, progress: Progress) -> None:
+    def release_permit(self, progress: Progress) -> None:
         """Give back a permit that was not spent."""
         if progress.permit is not None:
-            self.permits().drop(progress)
+            self.permits().release(progress)
 
     def _worth_waiting(self, call: RelayCall, progress: Progress) -> float | None:
         """Seconds after which a rest is over, None when that is too late, or not why."""
@@ -127,19 +127,19 @@
         else:
             return None
         job = make_job(call, progress, now)
-        is_soon = wait <= WAIT_SHARE * (job.target - job.waited)
+        is_soon = wait <= REST_WAIT_SHARE * (job.target - job.waited)
         return wait if is_soon and (why is None or why.bar is Bar.RESTS) else None
 
     def _untried(self, call: RelayCall, progress: Progress) -> list[UpstreamState]:
         states = self.table.of_service(call.service)
         return [state for state in states if state.life not in progress.tried]
 
-    def nobody(self, call: RelayCall, progress: Progress) -> PondpinError:
+    def unavailable_error(self, call: RelayCall, progress: Progress) -> PondpinError:
         """The refusal of a request that no upstream takes: callers come back, spread out, when the
         first does.
         """
         now = self.clock()
-        wait = self.permits().back_in(call, progress) if self._has_limited(call) else None
+        wait = self.permits().retry_after(call, progress) if self._has_limited(call) else None
         if wait is not None:
             spread = min(MOST_SPREAD_SECONDS, RETRY_SECONDS + wait) * self.rng.random()
             return PondpinError(Code.UPSTREAMS_LIMITED, call.service, retry_after=wait + spread)
--- a/pondpin/relay/attempts/quarantine_records.py
+++ b/pondpin/relay/attempts/quarantine_records.py
@@ -17,8 +17,13 @@
     Turn,
     Verdict,
 )
-from pondpin.relay.attempts.crash_guard import LOOK_SECONDS
-from pondpin.relay.attempts.life_watch import LEFT_SECONDS, LISTED_SECONDS, EndSeen, LifeWatch
+from pondpin.relay.attempts.crash_guard import POLL_SECONDS
+from pondpin.relay.attempts.life_watch import (
+    LATE_START_SECONDS,
+    LIST_LAG_SECONDS,
+    ObservedEnd,
+    RunTracker,
+)
 from pondpin.relay.call import AttemptEnd, EndKind, Progress, RelayCall
 from pondpin.relay.log import EventLog
 from pondpin.relay.log_events import VerdictChanged
@@ -41,8 +46,8 @@
 class QuarantineRecords:
     """Feeds the quarantine, settles its ends and logs each verdict that changes."""
 
-    news: QuarantineNews
-    lives: LifeWatch
+    quarantine_sync: QuarantineNews
+    tracker: RunTracker
     table: UpstreamTable
     turn: Turn
     list_at: Callable[[], float | None]
@@ -50,12 +55,12 @@
 
     def __post_init__(self) -> None:
         """Set up what is not told yet."""
-        self.quarantine: Quarantine = self.news.quarantine
-        self.log: EventLog = self.lives.log
-        self.clock: Clock = self.lives.clock
+        self.quarantine: Quarantine = self.quarantine_sync.quarantine
+        self.log: EventLog = self.tracker.log
+        self.clock: Clock = self.tracker.clock
         self._verdict_by_identity: dict[int, Verdict] = {}
         # Ends that proved to say nothing: told with the next step, which is soon enough.
-        self.untold: list[NamedEnd] = []
+        self.unsent: list[NamedEnd] = []
 
     async def admit(self, call: RelayCall, progress: Progress) -> None:
         """Let a request through to placement, or raise PondpinError; see CrashGuard."""
@@ -75,7 +80,7 @@
             if now >= limit:
                 detail = _tell(call, judgement)
                 raise PondpinError(Code.SUSPECTED, detail, retry_after=RETRY_SECONDS)
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
 
     def judge(self, call: RelayCall) -> Judgement:
         """The verdict on a request now."""
@@ -105,7 +110,7 @@
         is_running = not is_begun and self.quarantine.is_running(call.identity, self.clock())
         return "another run of it goes on" if is_running else ""
 
-    def may_try_again(self, call: RelayCall, end: AttemptEnd) -> bool:
+    def allows_retry(self, call: RelayCall, end: AttemptEnd) -> bool:
         """Whether another upstream may get a request after an attempt."""
         judgement = self.judge(call)
         if judgement.verdict is Verdict.FREE:
@@ -116,33 +121,33 @@
         proved = end.kind is EndKind.BROKEN
         return judgement.verdict is Verdict.SUSPECTED and proved and judgement.may_try_again
 
-    def note_end(self, seen: EndSeen) -> None:
+    def record_end(self, seen: ObservedEnd) -> None:
         """Record an end that this instance saw, and tell peers."""
         release = release_of(seen.state)
         news = []
         for run in seen.runs:
             end = LifeEnd(
                 seen.state.life,
-                seen.at if run.left_at is None else min(seen.at, run.left_at),
+                seen.at if run.ended_at is None else min(seen.at, run.ended_at),
                 release,
-                not run.was_begun_then(seen.at),
-                source=self.news.instance,
+                not run.may_be_starting(seen.at),
+                source=self.quarantine_sync.instance,
             )
             if self.quarantine.note_end(run.identity, end):
                 news.append(NamedEnd(run.identity, end))
         if news:
-            self.news.tell(news)
+            self.quarantine_sync.tell(news)
             self._log_verdicts(item.identity for item in news)
 
-    def note_heard(self, source: str, ends: Sequence[NamedEnd]) -> None:
+    def record_peer_ends(self, source: str, ends: Sequence[NamedEnd]) -> None:
         """Log verdicts that a peer's ends change, and look at this instance's requests there."""
         self._log_verdicts(item.identity for item in ends)
         for item in ends:
             state = self.table.by_life(item.end.life)
-            is_new = self.clock() - item.end.at < LEFT_SECONDS
+            is_new = self.clock() - item.end.at < LATE_START_SECONDS
             if state is not None and is_new and not item.end.void:
                 # A request of this instance may have left there just before.
-                self.lives.note_refused(state)
+                self.tracker.record_refused(state)
 
     def settle(self, now: float) -> None:
         """Settle ends by the list and by what was heard since, and tell peers."""
@@ -151,10 +156,10 @@
             if void is not None:
                 marked = self.quarantine.mark(item.identity, item.end.life, void)
                 if void:
-                    self.untold.append(marked)
-        if self.untold:
-            told, self.untold = self.untold, []
-            self.news.tell(told)
+                    self.unsent.append(marked)
+        if self.unsent:
+            told, self.unsent = self.unsent, []
+            self.quarantine_sync.tell(told)
             self._log_verdicts(item.identity for item in told)
 
     def _says_nothing(self, end: LifeEnd, now: float) -> bool | None:
@@ -162,10 +167,10 @@
         state = self.table.by_life(end.life)
         if state is None or state.ended:
             return False
-        if self.lives.goes_on(end.life, end.at + ECHO_SECONDS):
+        if self.tracker.active_since(end.life, end.at + ECHO_SECONDS):
             return True
         list_at = self.list_at()
-        if list_at is not None and list_at > end.at + LISTED_SECONDS:
+        if list_at is not None and list_at > end.at + LIST_LAG_SECONDS:
             return True
         return None
 
@@ -173,7 +178,7 @@
         """An operator clears a request; returns how many ends were believed."""
         cleared = self.quarantine.note_good(identity, self.clock())
         if cleared:
-            self.news.tell(cleared)
+            self.quarantine_sync.tell(cleared)
             self._log_verdicts((identity,))
         return len(cleared)
 
--- a/pondpin/relay/attempts/request_notes.py
+++ b/pondpin/relay/attempts/request_notes.py
@@ -7,7 +7,7 @@
 from pondpin.codes import Code, Ran
 from pondpin.errors import PondpinError
 from pondpin.metrics import Metrics
-from pondpin.relay.attempts.admission import Beliefs
+from pondpin.relay.attempts.admission import AdmissionState
 from pondpin.relay.call import AttemptEnd, EndKind, Progress, RelayCall
 from pondpin.relay.choosing.planner import Plan
 from pondpin.relay.log import EventLog
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RequestNotes:
+class RequestLog:
     """Writes what becomes of requests."""
 
     log: EventLog
@@ -64,7 +64,7 @@
         route: Route | None,
         error: PondpinError,
         arrived: float,
-        beliefs: Beliefs,
+        beliefs: AdmissionState,
     ) -> None:
         """A request was refused, or failed; route is None when none was found."""
         now = self.clock()
@@ -105,7 +105,7 @@
         progress: Progress,
         plan: Plan,
         group: "LeaseGroup | None",
-        beliefs: Beliefs,
+        beliefs: AdmissionState,
     ) -> None:
         """An attempt is about to be sent."""
         now = self.clock()
--- a/pondpin/relay/attempts/send_guards.py
+++ b/pondpin/relay/attempts/send_guards.py
@@ -10,7 +10,7 @@
 
 from pondpin.clocks import Clock
 from pondpin.errors import PondpinError
-from pondpin.relay.attempts.admission import Beliefs, admit, check_proof
+from pondpin.relay.attempts.admission import AdmissionState, admit, check_proof
 from pondpin.relay.attempts.crash_guard import CrashGuard
 from pondpin.relay.call import Progress, RelayCall
 from pondpin.relay.choosing.planner import Plan
@@ -21,29 +21,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendGuards:
+class SendChecks:
     """The guards of a send, in one list."""
 
-    beliefs: Callable[[], Beliefs]
-    guard: CrashGuard
-    desk: Callable[[], "PermitDesk"]
+    admission_state: Callable[[], AdmissionState]
+    crash_guard: CrashGuard
+    permit_issuer: Callable[[], "PermitDesk"]
     clock: Clock
 
     def check_key(self, call: RelayCall) -> None:
         """The key must still hold, by a proof that is young enough; raises PondpinError."""
         if call.account:
-            beliefs, now = self.beliefs(), self.clock()
+            beliefs, now = self.admission_state(), self.clock()
             admit(beliefs, call.facts, call.incoming.path, now)
             check_proof(beliefs, call.facts, now)
 
-    def why_not(self, call: RelayCall, progress: Progress, plan: Plan, is_begun: bool) -> str:
+    def withhold_reason(
+        self, call: RelayCall, progress: Progress, plan: Plan, is_begun: bool
+    ) -> str:
         """Why a planned request must not be sent now, empty when it may; it is planned anew then.
 
         is_begun: its run is already noted, and it is sent at once where this says nothing.
         """
         return (
             self._key_bar(call)
-            or self.guard.outdated(call, progress, is_begun)
+            or self.crash_guard.outdated(call, progress, is_begun)
             or upstream_bar(plan, self.clock())
             or self._permit_bar(progress, plan, is_begun)
         )
@@ -63,7 +65,11 @@
             if is_begun:
                 progress.permit = None
             return ""
-        has_one = self.desk().take_spare(lead) if is_begun else self.desk().has_spare(lead)
+        has_one = (
+            self.permit_issuer().take_spare(lead)
+            if is_begun
+            else self.permit_issuer().has_spare(lead)
+        )
         return "" if has_one else f"{lead.id} has no permit left"
 
     def _key_bar(self, call: RelayCall) -> str:
--- a/pondpin/relay/attempts/upstream_judge.py
+++ b/pondpin/relay/attempts/upstream_judge.py
@@ -18,7 +18,7 @@
 SILENT_SECONDS = 0.75
 
 
-class UpstreamJudge:
+class PassiveHealth:
     """Keeps the health of upstreams by what attempts there came to."""
 
     def __init__(
@@ -35,7 +35,7 @@
         self._log = log
         self._clock = clock
 
-    def judge_end(self, plan: Plan, end: AttemptEnd, began: float) -> None:
+    def observe_end(self, plan: Plan, end: AttemptEnd, began: float) -> None:
         """Note what an attempt's end says of its upstream."""
         now = self._clock()
         result = end.kind.value
@@ -72,7 +72,7 @@
             left = round(state.health.ejected_until - now, 2)
             self._log.write(UpstreamEjected(upstream=state.id, reason=reason, seconds=left))
 
-    def note_head(self, plan: Plan, head: AnswerHead, asked_at: float) -> None:
+    def observe_head(self, plan: Plan, head: AnswerHead, asked_at: float) -> None:
         """The head of an answer came: take what it says of its upstream."""
         now = self._clock()
         plan.lead.heard_at = now
--- a/pondpin/relay/changes.py
+++ b/pondpin/relay/changes.py
@@ -7,7 +7,7 @@
 from pondpin.http_client import HttpClient
 from pondpin.http_server import WebServer
 from pondpin.metrics import Metrics
-from pondpin.relay.attempts.admission import Beliefs
+from pondpin.relay.attempts.admission import AdmissionState
 from pondpin.relay.caller_limits import caller_limits
 from pondpin.relay.log import EventLog
 from pondpin.relay.log_events import (
@@ -88,7 +88,7 @@
             self.metrics.entries_refused.inc({})
         self.log.write(PublishedRefused(key=key, reason=reason))
 
-    def note_freshness(self, beliefs: Beliefs) -> None:
+    def note_freshness(self, beliefs: AdmissionState) -> None:
         """Log when keys begin or cease to be accepted."""
         now = self.clock()
         age, fresh = beliefs.proof_age(now), beliefs.accepts_keys(now)
--- a/pondpin/relay/entry.py
+++ b/pondpin/relay/entry.py
@@ -18,13 +18,13 @@
 from pondpin.platform.requests import PlatformDialect
 from pondpin.platform.store import PlatformStore
 from pondpin.policies import PlacementPolicy
-from pondpin.relay.attempts.admission import Beliefs
-from pondpin.relay.attempts.attempt import Attempts
+from pondpin.relay.attempts.admission import AdmissionState
+from pondpin.relay.attempts.attempt import AttemptRunner
 from pondpin.relay.attempts.crash_guard import CrashGuard
 from pondpin.relay.attempts.handler import RelayHandler
-from pondpin.relay.attempts.life_watch import LifeWatch
-from pondpin.relay.attempts.placing import Placing
-from pondpin.relay.attempts.send_guards import SendGuards
+from pondpin.relay.attempts.life_watch import RunTracker
+from pondpin.relay.attempts.placing import Placer
+from pondpin.relay.attempts.send_guards import SendChecks
 from pondpin.relay.caller_limits import caller_limits
 from pondpin.relay.changes import Changes
 from pondpin.relay.choosing.planner import Planner, RelayPolicy
@@ -165,8 +165,8 @@
             lambda life, now: self.gossip.limits.news.tell(life, now),
         )
         self.guard = CrashGuard(
-            news=self.gossip.quarantine_news,
-            lives=LifeWatch(self.http.reach, self.table, self.log, steady_now),
+            quarantine_sync=self.gossip.quarantine_news,
+            tracker=RunTracker(self.http.reach, self.table, self.log, steady_now),
             table=self.table,
             turn=self.gossip.turn_of,
             list_at=lambda: self.publication.list_at,
@@ -177,12 +177,12 @@
             self.http, self.gossip, self.hearing, self.guard, self.metrics, self.log, prefix
         )
         dialect = PlatformDialect()
-        guards = SendGuards(self.beliefs, self.guard, lambda: self.gossip.limits.desk, steady_now)
-        placing = Placing(
+        guards = SendChecks(self.beliefs, self.guard, lambda: self.gossip.limits.desk, steady_now)
+        placing = Placer(
             planner=planner,
             turns=turns,
             leases=lambda: self.late.leases,
-            guards=guards,
+            send_checks=guards,
             table=self.table,
             permits=lambda: self.late.permits,
             clock=steady_now,
@@ -190,19 +190,19 @@
         )
         self.handler = RelayHandler(
             dialect=dialect,
-            attempts=Attempts(self.http, dialect, steady_now),
+            runner=AttemptRunner(self.http, dialect, steady_now),
             planner=planner,
-            placing=placing,
+            placer=placing,
             table=self.table,
             leases=lambda: self.late.leases,
             policy=policy,
             reports=lambda: self.late.reports,
-            hearing=self.hearing,
-            guards=guards,
-            guard=self.guard,
+            notice_handler=self.hearing,
+            send_checks=guards,
+            crash_guard=self.guard,
             identity_key=make_key(settings.identity_key),
-            beliefs=self.beliefs,
-            sharers=self._sharers,
+            admission_state=self.beliefs,
+            instance_count=self._sharers,
             retry_bounds=self._retry_bounds,
             log=self.log,
             metrics=self.metrics,
@@ -285,11 +285,11 @@
         limits = self.settings.limits
         return RetryBounds(limits.retry_ratio, limits.retry_allowance, limits.retry_window_seconds)
 
-    def beliefs(self) -> Beliefs:
+    def beliefs(self) -> AdmissionState:
         """What requests are admitted by now."""
         limits = self.settings.limits
         bound = limits.key_ms / MILLISECONDS - KEY_MARGIN_SECONDS
-        return Beliefs(
+        return AdmissionState(
             self.publication.configuration,
             self.publication.proof,
             bound if limits.keys_need_proof else None,
@@ -305,9 +305,9 @@
             return False
         publication = self.publication
         beliefs = self.beliefs()
-        if beliefs.behind >= beliefs.behind_bound:
+        if beliefs.behind_seconds >= beliefs.max_behind_seconds:
             return False
-        bound = beliefs.key_bound
+        bound = beliefs.max_proof_age
         if bound is None:
             return publication.configuration is not None
         return is_fresh(publication.proof, publication.in_force, steady_now(), bound)
--- a/pondpin/relay/late_parts.py
+++ b/pondpin/relay/late_parts.py
@@ -17,7 +17,7 @@
 from pondpin.runtime import steady_now
 
 if TYPE_CHECKING:
-    from pondpin.relay.attempts.permit_taking import PermitTaking
+    from pondpin.relay.attempts.permit_taking import PermitAcquirer
     from pondpin.relay.operations import Operations
     from pondpin.relay.published.document_server import DocumentServer
     from pondpin.relay.published.pieces import FetchPieceReply, FetchPieceRequest, HttpPieces
@@ -122,11 +122,11 @@
         )
 
     @cached_property
-    def permits(self) -> "PermitTaking":
+    def permits(self) -> "PermitAcquirer":
         """Permits of limited upstreams."""
-        from pondpin.relay.attempts.permit_taking import PermitTaking
+        from pondpin.relay.attempts.permit_taking import PermitAcquirer
 
-        return PermitTaking(self._gossip.limits.permits, self._metrics, steady_now)
+        return PermitAcquirer(self._gossip.limits.permits, self._metrics, steady_now)
 
     @cached_property
     def operations(self) -> "Operations":
--- a/pondpin/tests/test_life_watch.py
+++ b/pondpin/tests/test_life_watch.py
@@ -14,7 +14,7 @@
 import unittest
 
 from pondpin.http_client import Reach
-from pondpin.relay.attempts.life_watch import LifeWatch
+from pondpin.relay.attempts.life_watch import RunTracker
 from pondpin.relay.log import EventLog
 from pondpin.relay.model import ListedUpstream
 from pondpin.relay.upstreams.table import UpstreamTable
@@ -36,14 +36,14 @@
         ]
         table.take_list(listed, [])
         lead, helper = (table.by_id[item.id] for item in listed)
-        watch = LifeWatch(reach, table, log, clock)
+        watch = RunTracker(reach, table, log, clock)
         run = watch.begin(7, (lead, helper), 0.5)
         clock.advance(1.0)
         ended_at = clock()
         clock.advance(0.5)
-        run.heard_at = clock()
-        self.assertTrue(watch.goes_on(lead.life, ended_at))
-        self.assertFalse(watch.goes_on(helper.life, ended_at))
+        run.last_data_at = clock()
+        self.assertTrue(watch.active_since(lead.life, ended_at))
+        self.assertFalse(watch.active_since(helper.life, ended_at))
 
 
 if __name__ == "__main__":
--- a/pondpin/tests/test_relay_lifecycle.py
+++ b/pondpin/tests/test_relay_lifecycle.py
@@ -177,10 +177,10 @@
         async def work(platform: LocalPlatform) -> None:
             entry = platform.entries[0]
             call, progress = admitted_stream(), Progress(attempts=1)
-            self.assertTrue(entry.handler.may_go_elsewhere(call, progress))
+            self.assertTrue(entry.handler.may_retry(call, progress))
             platform.publish(2, tenants=[{"name": TENANT, "apiKeys": ["another"]}])
             await platform.until(lambda: entry.publication.revision == platform.store.revision)
-            self.assertFalse(entry.handler.may_go_elsewhere(call, progress))
+            self.assertFalse(entry.handler.may_retry(call, progress))
 
         self.play(work)
 
@@ -189,11 +189,11 @@
             entry = platform.entries[0]
             call, progress = admitted_stream(), Progress(attempts=1)
             limits = replace(self.limits, retry_ratio=0.0, retry_allowance=0.0)
-            self.assertTrue(entry.handler.may_go_elsewhere(call, progress))
+            self.assertTrue(entry.handler.may_retry(call, progress))
             entry.reload(replace(entry.settings, limits=limits))
             # The budget of another service is made by the new bounds.
             other = replace(call, service="another")
-            self.assertFalse(entry.handler.may_go_elsewhere(other, progress))
+            self.assertFalse(entry.handler.may_retry(other, progress))
 
         self.play(work)
 
--- a/pondpin/tests/test_relay_notice_ways.py
+++ b/pondpin/tests/test_relay_notice_ways.py
@@ -13,8 +13,8 @@
 from pondpin.http_connections import CheckedConnections
 from pondpin.metrics import Metrics
 from pondpin.notices import Notice
-from pondpin.relay.attempts.placing import WAIT_SHARE
-from pondpin.relay.attempts.upstream_judge import UpstreamJudge
+from pondpin.relay.attempts.placing import REST_WAIT_SHARE
+from pondpin.relay.attempts.upstream_judge import PassiveHealth
 from pondpin.relay.call import AttemptEnd, EndKind, WholeReply
 from pondpin.relay.choosing.planner import Plan
 from pondpin.relay.choosing.retry_window import RetryWindow
@@ -392,7 +392,7 @@
 
     def test_a_rest_that_ends_well_inside_the_target_is_waited_for(self) -> None:
         async def work(platform: LocalPlatform) -> None:
-            resting = rest_all(platform, "plain", str(0.5 * WAIT_SHARE * TARGET_SECONDS))
+            resting = rest_all(platform, "plain", str(0.5 * REST_WAIT_SHARE * TARGET_SECONDS))
             await ask(platform, "again", "relay-0.first")
             for worker in resting:
                 worker.rest = ""
@@ -431,14 +431,14 @@
             log = EventLog("x", clock, clock, os.open(os.devnull, os.O_WRONLY))
             metrics = Metrics("x", "north")
             hearing = Hearing(table, lambda: None, lambda: None, metrics, log, clock)
-            judge = UpstreamJudge(table, hearing, metrics, log, clock)
+            judge = PassiveHealth(table, hearing, metrics, log, clock)
             plan = Plan(table.by_id["a"], (), None, 1)
             notice = Notice(rest=rest)
             head = AnswerHead(503, "a1", False, None, False, True, None, "", notice, ())
             began = clock()
-            judge.note_head(plan, head, clock())
+            judge.observe_head(plan, head, clock())
             end = AttemptEnd(EndKind.ANSWERED, answer=WholeReply(503, (), b""))
-            judge.judge_end(plan, end, began)
+            judge.observe_end(plan, end, began)
             self.assertEqual(plan.lead.health.failures, failures)
 
 
--- a/pondpin/tests/test_relay_patience.py
+++ b/pondpin/tests/test_relay_patience.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from typing import Any
 
-from pondpin.relay.attempts.attempt import Attempts, EventSink
+from pondpin.relay.attempts.attempt import AttemptRunner, EventSink
 from pondpin.relay.call import Progress
 from pondpin.relay.choosing.engine_choice import EngineChoice
 from pondpin.relay.choosing.patience import StallTimeouts, stall_timeouts_for
@@ -53,25 +53,25 @@
     def __init__(self, may_go_elsewhere: bool) -> None:
         self._may_go_elsewhere = may_go_elsewhere
 
-    def head(self, head: AnswerHead) -> None: ...
+    def on_head(self, head: AnswerHead) -> None: ...
 
-    def first_event(self) -> None: ...
+    def on_first_event(self) -> None: ...
 
-    def heard(self, now: float) -> None: ...
+    def on_data(self, now: float) -> None: ...
 
-    def silent_until(self, now: float) -> float:
+    def busy_until(self, now: float) -> float:
         return 0.0
 
-    def is_cut(self, now: float) -> bool:
+    def is_partitioned(self, now: float) -> bool:
         return False
 
-    async def ask(self) -> bool:
+    async def query_status(self) -> bool:
         return True
 
-    def why_not_send(self) -> str:
+    def withhold_reason(self) -> str:
         return ""
 
-    def may_go_elsewhere(self) -> bool:
+    def may_retry(self) -> bool:
         return self._may_go_elsewhere
 
 
@@ -89,7 +89,7 @@
             sink = EventSink(call, progress, loop.time, lambda: None, watcher)
             loop.call_later(3.0, sink.on_end, True)
             began = loop.time()
-            attempts = Attempts(http, dialect, loop.time)
+            attempts = AttemptRunner(http, dialect, loop.time)
             whole = await attempts.wait_for_end(call, sink, progress, patience, watcher)
             return whole, loop.time() - began
 
--- a/pondpin/tests/test_relay_quarantine.py
+++ b/pondpin/tests/test_relay_quarantine.py
@@ -22,7 +22,7 @@
 from pondpin.http_streams import CallFailedError
 from pondpin.network import Endpoint
 from pondpin.quarantine import LifeEnd, Verdict
-from pondpin.relay.attempts.life_watch import LISTED_SECONDS, Run
+from pondpin.relay.attempts.life_watch import LIST_LAG_SECONDS, Run
 from pondpin.relay.choosing.retry_window import RetryWindow
 from pondpin.relay.entry import RelayEntry
 from pondpin.relay.late_parts import QUARANTINE_PATH
@@ -208,16 +208,16 @@
             async def refuse(host: str, port: int) -> Reach:
                 return Reach.REFUSED
 
-            with mock.patch.object(first.guard.lives, "reach", refuse):
+            with mock.patch.object(first.guard.tracker, "reach", refuse):
                 await ask(platform, "again", "a1")
             # The second try was served, which clears the request; others are still suspect.
             state, other = first.table.of_service(PLAIN)[:2]
             now = first.guard.clock()
             for identity, place in ((7, state), (8, other)):
                 first.guard.quarantine.note_end(identity, LifeEnd(place.life, now))
-                run = first.guard.lives.begin(9, (place,), 0.0)
+                run = first.guard.tracker.begin(9, (place,), 0.0)
                 run.began = now - 1.0 if identity == 7 else now + 0.5
-                run.heard_at = place.heard_at = now + 1.0
+                run.last_data_at = place.heard_at = now + 1.0
             first.guard.step(now + 1.0)
             # What came on a newer connection may be a later life's.
             self.assertEqual((ends_of(first, 7), len(ends_of(first, 8))), ([], 1))
@@ -230,8 +230,8 @@
             first = platform.entries[0]
             state = first.table.of_service(ENGINES)[0]
             now = first.guard.clock()
-            first.guard.quarantine.note_end(7, LifeEnd(state.life, now - LISTED_SECONDS))
-            first.guard.quarantine.note_end(8, LifeEnd(12345, now - LISTED_SECONDS))
+            first.guard.quarantine.note_end(7, LifeEnd(state.life, now - LIST_LAG_SECONDS))
+            first.guard.quarantine.note_end(8, LifeEnd(12345, now - LIST_LAG_SECONDS))
             with mock.patch.object(first.guard, "list_at", lambda: now + 1.0):
                 first.guard.step(now + 1.0)
             self.assertEqual((ends_of(first, 7), len(ends_of(first, 8))), ([], 1))
@@ -262,16 +262,16 @@
     """Who may have just begun to run at a moment."""
 
     def test_who_waits_behind_others_may_have_begun_and_who_is_read_may_not(self) -> None:
-        light = Run(1, 100.0, (), reading=0.02)
-        long = Run(2, 100.0, (), reading=3.0)
-        self.assertTrue(light.was_begun_then(100.1))
-        self.assertFalse(long.was_begun_then(101.0))
-        self.assertTrue(long.was_begun_then(103.0))
+        light = Run(1, 100.0, (), prefill_seconds=0.02)
+        long = Run(2, 100.0, (), prefill_seconds=3.0)
+        self.assertTrue(light.may_be_starting(100.1))
+        self.assertFalse(long.may_be_starting(101.0))
+        self.assertTrue(long.may_be_starting(103.0))
 
     def test_who_was_answered_for_a_while_has_not_just_begun(self) -> None:
-        run = Run(1, 100.0, (), reading=0.02, answered_at=100.2)
-        self.assertTrue(run.was_begun_then(100.4))
-        self.assertFalse(run.was_begun_then(100.6))
+        run = Run(1, 100.0, (), prefill_seconds=0.02, answered_at=100.2)
+        self.assertTrue(run.may_be_starting(100.4))
+        self.assertFalse(run.may_be_starting(100.6))
 
 
 class HoldTest(GuardCase):
@@ -394,17 +394,17 @@
                 return Reach.SILENT
 
             with (
-                mock.patch.object(first.guard.lives, "reach", reach),
+                mock.patch.object(first.guard.tracker, "reach", reach),
                 mock.patch("pondpin.relay.attempts.life_looks.ANSWER_SECONDS", 30.0),
             ):
                 task = asyncio.ensure_future(ask(platform, "stream", body=DEADLY))
                 await looking.wait()
-                self.assertTrue(first.guard.news.running)
+                self.assertTrue(first.guard.quarantine_sync.running)
                 task.cancel()
                 await platform.until(lambda: not first.handler.open_requests)
-            self.assertEqual(first.guard.news.running, {})
+            self.assertEqual(first.guard.quarantine_sync.running, {})
             looked.set()
-            await platform.until(lambda: not first.guard.lives.looks._looks_by_life)
+            await platform.until(lambda: not first.guard.tracker.looks._looks_by_life)
 
         self.play(work)
 
@@ -447,7 +447,7 @@
 
     def count_answered(self, platform: LocalPlatform) -> int:
         """Requests that have been answered for a while by the upstream they are at."""
-        lives = [entry.guard.lives for entry in platform.entries]
+        lives = [entry.guard.tracker for entry in platform.entries]
         return sum(
             run.was_answered(watch.clock())
             for watch in lives
--- a/pondpin/tests/test_relay_rules.py
+++ b/pondpin/tests/test_relay_rules.py
@@ -8,10 +8,10 @@
 from pondpin.codes import Code, Ran
 from pondpin.errors import PondpinError
 from pondpin.relay.attempts.admission import (
+    FRESH_PROOF_SECONDS,
     OUTAGE_RETRY_SECONDS,
     RETRY_SECONDS,
-    SURE_SECONDS,
-    Beliefs,
+    AdmissionState,
     admit,
     check_not_behind,
 )
@@ -104,7 +104,7 @@
         self.configuration = make_configuration(make_route("/a/"))
 
     def admit(self, age: float, bound: float | None = 4.6, **changes: object) -> object:
-        beliefs = Beliefs(self.configuration, Proof(PublishedVersion(1), NOW - age), bound)
+        beliefs = AdmissionState(self.configuration, Proof(PublishedVersion(1), NOW - age), bound)
         return admit(beliefs, facts(**changes), "/a/x", NOW)
 
     def code(self, age: float, **changes: object) -> Code:
@@ -135,8 +135,8 @@
 
     def test_callers_come_back_when_a_proof_is_likely(self) -> None:
         proof = Proof(PublishedVersion(1), NOW - 9.0)
-        alone = Beliefs(self.configuration, proof, 4.6)
-        together = Beliefs(self.configuration, proof, 4.6, hears_peers=True)
+        alone = AdmissionState(self.configuration, proof, 4.6)
+        together = AdmissionState(self.configuration, proof, 4.6, has_live_peers=True)
         self.assertEqual(alone.retry_seconds("a"), RETRY_SECONDS)
         seconds = {together.retry_seconds(str(number)) for number in range(99)}
         self.assertEqual(len(seconds), 99)
@@ -148,24 +148,32 @@
 
     def test_who_is_long_behind_a_newer_configuration_refuses(self) -> None:
         proof = Proof(PublishedVersion(1), NOW)
-        check_not_behind(Beliefs(self.configuration, proof, 4.6, behind=1.29, behind_bound=1.3))
+        check_not_behind(
+            AdmissionState(
+                self.configuration, proof, 4.6, behind_seconds=1.29, max_behind_seconds=1.3
+            )
+        )
         with self.assertRaises(PondpinError) as caught:
-            check_not_behind(Beliefs(self.configuration, proof, 4.6, behind=1.3, behind_bound=1.3))
+            check_not_behind(
+                AdmissionState(
+                    self.configuration, proof, 4.6, behind_seconds=1.3, max_behind_seconds=1.3
+                )
+            )
         error = caught.exception
         self.assertEqual((error.code, error.ran), (Code.NOT_PROVED, Ran.NOT_RUN))
         self.assertEqual(error.retry_after, RETRY_SECONDS)
 
     def test_an_unknown_key_is_final_only_when_the_version_is_sure(self) -> None:
         self.assertEqual(self.code(0.1, key="other"), Code.UNKNOWN_KEY)
-        self.assertEqual(self.code(SURE_SECONDS + 0.01, key="other"), Code.NOT_PROVED)
+        self.assertEqual(self.code(FRESH_PROOF_SECONDS + 0.01, key="other"), Code.NOT_PROVED)
 
     def test_an_unknown_host_is_final_only_when_the_version_is_sure(self) -> None:
         self.assertEqual(self.code(0.1, host="x"), Code.UNKNOWN_PATH)
-        self.assertEqual(self.code(SURE_SECONDS + 0.01, host="x"), Code.NOT_PROVED)
+        self.assertEqual(self.code(FRESH_PROOF_SECONDS + 0.01, host="x"), Code.NOT_PROVED)
 
     def test_without_any_configuration_nothing_is_judged(self) -> None:
         with self.assertRaises(PondpinError) as caught:
-            admit(Beliefs(None, None, 4.6), facts(), "/a/x", NOW)
+            admit(AdmissionState(None, None, 4.6), facts(), "/a/x", NOW)
         self.assertEqual(caught.exception.status, 503)
 
 
@@ -251,11 +259,11 @@
     def test_half_an_event_is_kept_back(self) -> None:
         splitter = EventSplitter()
         self.assertEqual(splitter.feed(b"id: 1\ndata: a"), [])
-        self.assertTrue(splitter.has_rest)
+        self.assertTrue(splitter.has_partial)
         found = splitter.feed(b"\n\nid: 2\n")
         self.assertEqual([item.number for item in found], [1])
         self.assertEqual(found[0].data, b"id: 1\ndata: a\n\n")
-        self.assertTrue(splitter.has_rest)
+        self.assertTrue(splitter.has_partial)
 
     def test_a_line_before_the_id_is_part_of_the_event(self) -> None:
         found = EventSplitter().feed(b"versions: 3\nid: 9\ndata: x\n\n")
@@ -277,4 +285,4 @@
             position += size
         self.assertEqual(b"".join(item.data for item in found), text)
         self.assertEqual([item.number for item in found], [0, 1, 2, 3, 4])
-        self.assertFalse(splitter.has_rest)
+        self.assertFalse(splitter.has_partial)
--- a/pondpin/tests/test_relay_serving.py
+++ b/pondpin/tests/test_relay_serving.py
@@ -188,11 +188,11 @@
     def test_a_silent_peer_keeps_its_share_of_the_retries(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             first = platform.entries[0]
-            await platform.until(lambda: first.handler.sharers() == 3)
+            await platform.until(lambda: first.handler.instance_count() == 3)
             await platform.entries[2].stop()
             del platform.entries[2]
             await platform.until(lambda: len(first.gossip.known.alive(first.handler.clock())) == 1)
-            self.assertEqual(first.handler.sharers(), 3)
+            self.assertEqual(first.handler.instance_count(), 3)
 
         self.play(work)
 
--- a/pondpin/tests/test_relay_streams.py
+++ b/pondpin/tests/test_relay_streams.py
@@ -141,7 +141,7 @@
             )
             publication = platform.entries[0].publication
             await platform.until(lambda: publication.revision == revision)
-            attempts = platform.entries[0].handler.attempts
+            attempts = platform.entries[0].handler.runner
             run = attempts.run
 
             async def run_and_leave(call: RelayCall, *others: Any) -> AttemptEnd:
--- a/pondpin/tests/test_relay_words.py
+++ b/pondpin/tests/test_relay_words.py
@@ -16,7 +16,7 @@
 from pondpin.http_streams import CallFailedError
 from pondpin.limits import LimitWord, hear_limit
 from pondpin.notices import Notice
-from pondpin.relay.attempts.send_guards import SendGuards
+from pondpin.relay.attempts.send_guards import SendChecks
 from pondpin.relay.entry import RelayEntry
 from pondpin.relay.model import ListedUpstream
 from pondpin.relay.upstreams.state import UpstreamState
@@ -93,7 +93,7 @@
 
 def guards() -> set[str]:
     """The names of the checks that a send asks, in the order of its list."""
-    tree = ast.parse(textwrap.dedent(inspect.getsource(SendGuards.why_not)))
+    tree = ast.parse(textwrap.dedent(inspect.getsource(SendChecks.withhold_reason)))
     chains = [node for node in ast.walk(tree) if isinstance(node, ast.BoolOp)]
     calls = [item.func for chain in chains for item in chain.values if isinstance(item, ast.Call)]
     return {call.attr if isinstance(call, ast.Attribute) else ast.unparse(call) for call in calls}
--- a/pondpin/tests/test_suspended.py
+++ b/pondpin/tests/test_suspended.py
@@ -19,7 +19,7 @@
 from pondpin.http_server import WebServer
 from pondpin.network import Endpoint
 from pondpin.quarantine import LifeEnd, Quarantine, Surroundings, Verdict, quarantine_seconds
-from pondpin.relay.attempts.attempt import Attempts
+from pondpin.relay.attempts.attempt import AttemptRunner
 from pondpin.relay.call import Progress
 from pondpin.relay.choosing.planner import Plan
 from pondpin.relay.choosing.retry_window import RetryBounds, RetryWindow
@@ -109,7 +109,7 @@
                 return []
 
         dialect: Any = Dialect()
-        attempts = Attempts(nothing, dialect, steady_now)
+        attempts = AttemptRunner(nothing, dialect, steady_now)
         plan = Plan(UpstreamState(listed), (), None, 1)
         deadline = steady_now() + 15.0
         late = mock.Mock(wraps=call, deadline=deadline)
@@ -250,7 +250,7 @@
             self.clocks.away += 2.0
             self.assertGreaterEqual(publication.behind_seconds(steady_now()), 2.0)
             beliefs = platform.entries[0].beliefs()
-            self.assertGreaterEqual(beliefs.behind, beliefs.behind_bound)
+            self.assertGreaterEqual(beliefs.behind_seconds, beliefs.max_behind_seconds)
 
         self.play(work)
 
