--- a/pondpin/relay/attempts/crash_guard.py
+++ b/pondpin/relay/attempts/crash_guard.py
@@ -24,7 +24,7 @@
 from pondpin.relay.call import AttemptEnd, EndKind, Progress, RelayCall
 from pondpin.relay.choosing.planner import Plan, RelayPolicy
 from pondpin.relay.mechanisms import Mechanism
-from pondpin.relay.peers.quarantine_news import QuarantineNews
+from pondpin.relay.peers.quarantine_news import QuarantineSync
 from pondpin.relay.upstreams.table import UpstreamTable
 
 if TYPE_CHECKING:
@@ -40,7 +40,7 @@
 class CrashGuard:
     """The quarantine of an instance that relays."""
 
-    quarantine_sync: QuarantineNews
+    quarantine_sync: QuarantineSync
     tracker: RunTracker
     table: UpstreamTable
     turn: Turn
@@ -53,7 +53,7 @@
         self.quarantine: Quarantine = self.quarantine_sync.quarantine
         self.clock: Clock = self.tracker.clock
         self.tracker.on_end = lambda seen: self.records.record_end(seen)
-        self.quarantine_sync.on_heard = lambda source, ends: self.records.record_peer_ends(
+        self.quarantine_sync.on_received = lambda source, ends: self.records.record_peer_ends(
             source, ends
         )
         self._made_at = self.clock()
@@ -73,7 +73,7 @@
 
     def _knows_peers(self) -> bool:
         """Whether peers had the time to tell what they know since this instance started."""
-        if self.quarantine_sync.is_told or not self.quarantine_sync.hosts():
+        if self.quarantine_sync.is_synced or not self.quarantine_sync.hosts():
             # All reachable peers have told what they know.
             return True
         return self.clock() - self._made_at >= START_SECONDS
@@ -102,19 +102,19 @@
             self.metrics.suspected.inc({"service": call.service})
             identity, life = call.identity, plan.lead.life
             self.quarantine.begin_run(identity, self.quarantine_sync.instance, life, self.clock())
-            self.quarantine_sync.running[identity] = life
-            self.quarantine_sync.tell()
+            self.quarantine_sync.running_by_identity[identity] = life
+            self.quarantine_sync.broadcast()
         reading = plan.choice.part_seconds if plan.choice is not None else 0.0
         return self.tracker.begin(call.identity, (plan.lead, *plan.helpers), reading)
 
     def _end(self, call: RelayCall, progress: Progress) -> None:
         """A suspect's run is over, and what it led to was told."""
         identity = call.identity
-        if not progress.suspected or identity not in self.quarantine_sync.running:
+        if not progress.suspected or identity not in self.quarantine_sync.running_by_identity:
             return
         self.quarantine.end_run(identity, self.quarantine_sync.instance)
-        del self.quarantine_sync.running[identity]
-        self.quarantine_sync.tell()
+        del self.quarantine_sync.running_by_identity[identity]
+        self.quarantine_sync.broadcast()
 
     def abandon(self, call: RelayCall, progress: Progress, run: Run) -> None:
         """Its caller left, or its attempt failed here."""
@@ -165,7 +165,7 @@
         """Settle and forget ends."""
         self.tracker.record_unlisted()
         self.tracker.prune(now)
-        self.quarantine_sync.forget(now)
+        self.quarantine_sync.expire(now)
         if self.quarantine.ends_by_identity or "records" in self.__dict__:
             self.records.settle(now)
         self.quarantine.prune(now)
--- a/pondpin/relay/attempts/permit_taking.py
+++ b/pondpin/relay/attempts/permit_taking.py
@@ -9,7 +9,7 @@
 from pondpin.relay.attempts.attempt_ends import RETRY_SECONDS
 from pondpin.relay.call import Progress, RelayCall
 from pondpin.relay.choosing.jobs import is_light_call, make_job
-from pondpin.relay.peers.permits import Permits
+from pondpin.relay.peers.permits import PermitBroker
 from pondpin.relay.upstreams.state import UpstreamState
 
 # A request waits for a permit that comes within this share of what is left of its target: it is
@@ -24,7 +24,7 @@
 class PermitAcquirer:
     """The permits of this instance's requests."""
 
-    permits: Permits
+    permits: PermitBroker
     metrics: Metrics
     clock: Clock
     _looked_at_by_life: dict[int, float] = field(default_factory=dict)
@@ -35,11 +35,11 @@
         It waits for one that comes while its answer can still be in time; nothing queues behind.
         """
         tried = progress.tried | avoid
-        if not self.permits.desk.limited(call.service, tried):
+        if not self.permits.issuer.limited_upstreams(call.service, tried):
             return False
         job = make_job(call, progress, self.clock())
         longest = max(0.0, PERMIT_WAIT_SHARE * (job.target - job.waited))
-        found = await self.permits.take(call.service, tried, longest)
+        found = await self.permits.acquire(call.service, tried, longest)
         got = isinstance(found, Permit)
         self.metrics.permits.inc({"result": "taken" if got else "refused"})
         if isinstance(found, Permit):
@@ -55,13 +55,13 @@
         """
         if progress.attempts or progress.permit is not None or not is_light_call(call, progress):
             return
-        states = self.permits.desk.limited(call.service, progress.tried)
+        states = self.permits.issuer.limited_upstreams(call.service, progress.tried)
         unheard = next((state for state in states if self._is_unheard(state)), None)
         if unheard is None:
             return
         self._looked_at_by_life[unheard.life] = self.clock()
         others = {state.life for state in states if state is not unheard}
-        found = await self.permits.take(call.service, progress.tried | others, 0.0)
+        found = await self.permits.acquire(call.service, progress.tried | others, 0.0)
         if isinstance(found, Permit):
             self.metrics.permits.inc({"result": "to hear it again"})
             progress.permit = found
@@ -76,14 +76,14 @@
     def release(self, progress: Progress) -> None:
         """Give back a permit that was not spent."""
         if progress.permit is not None:
-            self.permits.give_back(progress.permit)
+            self.permits.release(progress.permit)
             self.metrics.permits.inc({"result": "given back"})
             progress.permit = None
 
     def retry_after(self, call: RelayCall, progress: Progress) -> float | None:
         """Seconds until the first permit for a request; None where no limited one is left."""
-        limited = self.permits.desk.limited(call.service, progress.tried)
+        limited = self.permits.issuer.limited_upstreams(call.service, progress.tried)
         if not limited:
             return None
         # A permit that could be had now would have been taken: 0 says that none is known of.
-        return self.permits.back_in(limited, call.service) or RETRY_SECONDS
+        return self.permits.retry_after(limited, call.service) or RETRY_SECONDS
--- a/pondpin/relay/attempts/quarantine_records.py
+++ b/pondpin/relay/attempts/quarantine_records.py
@@ -27,7 +27,7 @@
 from pondpin.relay.call import AttemptEnd, EndKind, Progress, RelayCall
 from pondpin.relay.log import EventLog
 from pondpin.relay.log_events import VerdictChanged
-from pondpin.relay.peers.quarantine_news import QuarantineNews
+from pondpin.relay.peers.quarantine_news import QuarantineSync
 from pondpin.relay.upstreams.state import release_of
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.request_identity import show
@@ -46,7 +46,7 @@
 class QuarantineRecords:
     """Feeds the quarantine, settles its ends and logs each verdict that changes."""
 
-    quarantine_sync: QuarantineNews
+    quarantine_sync: QuarantineSync
     tracker: RunTracker
     table: UpstreamTable
     turn: Turn
@@ -136,7 +136,7 @@
             if self.quarantine.note_end(run.identity, end):
                 news.append(NamedEnd(run.identity, end))
         if news:
-            self.quarantine_sync.tell(news)
+            self.quarantine_sync.broadcast(news)
             self._log_verdicts(item.identity for item in news)
 
     def record_peer_ends(self, source: str, ends: Sequence[NamedEnd]) -> None:
@@ -159,7 +159,7 @@
                     self.unsent.append(marked)
         if self.unsent:
             told, self.unsent = self.unsent, []
-            self.quarantine_sync.tell(told)
+            self.quarantine_sync.broadcast(told)
             self._log_verdicts(item.identity for item in told)
 
     def _says_nothing(self, end: LifeEnd, now: float) -> bool | None:
@@ -178,7 +178,7 @@
         """An operator clears a request; returns how many ends were believed."""
         cleared = self.quarantine.note_good(identity, self.clock())
         if cleared:
-            self.quarantine_sync.tell(cleared)
+            self.quarantine_sync.broadcast(cleared)
             self._log_verdicts((identity,))
         return len(cleared)
 
--- a/pondpin/relay/attempts/send_guards.py
+++ b/pondpin/relay/attempts/send_guards.py
@@ -17,7 +17,7 @@
 from pondpin.standing import Bar
 
 if TYPE_CHECKING:
-    from pondpin.relay.peers.permit_desk import PermitDesk
+    from pondpin.relay.peers.permit_desk import PermitIssuer
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +26,7 @@
 
     admission_state: Callable[[], AdmissionState]
     crash_guard: CrashGuard
-    permit_issuer: Callable[[], "PermitDesk"]
+    permit_issuer: Callable[[], "PermitIssuer"]
     clock: Clock
 
     def check_key(self, call: RelayCall) -> None:
@@ -66,7 +66,7 @@
                 progress.permit = None
             return ""
         has_one = (
-            self.permit_issuer().take_spare(lead)
+            self.permit_issuer().use_spare(lead)
             if is_begun
             else self.permit_issuer().has_spare(lead)
         )
--- a/pondpin/relay/entry.py
+++ b/pondpin/relay/entry.py
@@ -121,7 +121,7 @@
             seeds=tuple(parse_endpoint(address).host for address in settings.peers.known),
             publication=self.publication,
             table=self.table,
-            peers=LatePieces(self.http, self.metrics),
+            piece_port=LatePieces(self.http, self.metrics),
             log=self.log,
             clock=steady_now,
             rng=self.rng,
@@ -138,19 +138,19 @@
             self.table,
             steady_now,
             self.rng,
-            self.gossip.tell_soon,
+            self.gossip.send_soon,
             policy,
             self._sharers,
-            self.gossip.count_tellers,
+            self.gossip.count_reporting_peers,
             self.knows_peers,
-            self.gossip.tell_long_reads,
-            lambda state: self.gossip.limits.desk.has_spare(state),
+            self.gossip.broadcast_long_prefills,
+            lambda state: self.gossip.limits.issuer.has_spare(state),
         )
         turns = Dispatcher(
             self.gossip.calendar,
             steady_now,
             self.rng,
-            self.gossip.tell_soon,
+            self.gossip.send_soon,
             self.knows_peers,
             policy,
         )
@@ -158,14 +158,14 @@
         self.hearing = Hearing(
             self.table,
             lambda: self.publication.list_at,
-            self.gossip.tell_soon,
+            self.gossip.send_soon,
             self.metrics,
             self.log,
             steady_now,
-            lambda life, now: self.gossip.limits.news.tell(life, now),
+            lambda life, now: self.gossip.limits.sync.broadcast(life, now),
         )
         self.guard = CrashGuard(
-            quarantine_sync=self.gossip.quarantine_news,
+            quarantine_sync=self.gossip.quarantine_sync,
             tracker=RunTracker(self.http.reach, self.table, self.log, steady_now),
             table=self.table,
             turn=self.gossip.turn_of,
@@ -177,7 +177,7 @@
             self.http, self.gossip, self.hearing, self.guard, self.metrics, self.log, prefix
         )
         dialect = PlatformDialect()
-        guards = SendChecks(self.beliefs, self.guard, lambda: self.gossip.limits.desk, steady_now)
+        guards = SendChecks(self.beliefs, self.guard, lambda: self.gossip.limits.issuer, steady_now)
         placing = Placer(
             planner=planner,
             turns=turns,
@@ -238,13 +238,13 @@
             source,
             self.publication,
             self.gossip.rank,
-            self.gossip.tell_news,
+            self.gossip.send_urgent,
             self.log,
             steady_now,
             self.rng,
             scale=lambda: reading_scale(self.settings.limits),
             # Peers that start try the seeds first.
-            may_wait=self.gossip.address.host not in self.gossip.host_book.seeds,
+            may_wait=self.gossip.address.host not in self.gossip.peer_hosts.seeds,
             monitor=monitor,
         )
         self.controllers: tuple[Controller, ...] = (
@@ -262,7 +262,7 @@
                 self.metrics,
                 lambda: self.changes.note_freshness(self.beliefs()),
                 lambda: self.handler.open_requests,
-                lambda: len(self.gossip.known.alive(steady_now())),
+                lambda: len(self.gossip.peer_table.alive(steady_now())),
                 self._step,
             ),
         )
@@ -293,7 +293,7 @@
             self.publication.configuration,
             self.publication.proof,
             bound if limits.keys_need_proof else None,
-            self.gossip.hears_peers,
+            self.gossip.has_live_peers,
             self.publication.behind_seconds(steady_now()),
             limits.configuration_ms / MILLISECONDS - NOTICE_SECONDS,
         )
@@ -345,7 +345,7 @@
         self._stopping_at = began
         self.caller_server.stopping = True
         self.gossip.is_stopping = True
-        self.gossip.tell_soon()
+        self.gossip.send_soon()
         grace = self.settings.limits.grace_seconds
         self.log.write(Stopping(open_requests=self.handler.open_requests, grace=grace))
         while steady_now() - began < grace - STOP_MARGIN_SECONDS:
@@ -382,7 +382,7 @@
     def reload(self, settings: RelaySettings) -> None:
         """Take what may change while running: limits and seeds."""
         self.settings = settings
-        self.gossip.host_book.seeds = tuple(
+        self.gossip.peer_hosts.seeds = tuple(
             parse_endpoint(item).host for item in settings.peers.known
         )
         self.log.write(Reloaded(outcome="taken"))
--- a/pondpin/relay/late_parts.py
+++ b/pondpin/relay/late_parts.py
@@ -86,7 +86,7 @@
             self._log,
             self._gossip.table.has_ended,
             self._hearing.hear,
-            self._gossip.note_life_sent,
+            self._gossip.record_life_sent,
         )
 
     @cached_property
@@ -102,7 +102,7 @@
         from pondpin.platform.reports import PlatformReports
         from pondpin.relay.upstreams.reports import Reports
 
-        hear, note_sent = self._hearing.hear, self._gossip.note_sent
+        hear, note_sent = self._hearing.hear, self._gossip.record_sent
         port = PlatformReports(self._http)
         return Reports(port, self._log, steady_now, hear, note_sent)
 
@@ -118,7 +118,7 @@
             self._hearing.hear,
             self._log,
             steady_now,
-            self._gossip.note_sent,
+            self._gossip.record_sent,
         )
 
     @cached_property
@@ -138,19 +138,19 @@
             self._gossip.publication,
             self._metrics,
             self._guard,
-            lambda: self._gossip.limits.desk,
+            lambda: self._gossip.limits.issuer,
             steady_now,
         )
 
     def shut_upstreams(self) -> list[UpstreamState]:
         """Those that take nothing at all, and are to be asked now whether they still do."""
         table = self._gossip.table
-        return self._gossip.limits.desk.shut() if table.standings.names_limits else []
+        return self._gossip.limits.issuer.due_for_recheck() if table.standings.names_limits else []
 
     def forget(self) -> None:
         """What is kept for a while only is dropped."""
         if self._gossip.table.standings.names_limits:
-            self._gossip.limits.desk.forget()
+            self._gossip.limits.issuer.expire()
 
     async def settle(self) -> None:
         """Wait until what is being given back is back or lapses."""
--- a/pondpin/relay/operations.py
+++ b/pondpin/relay/operations.py
@@ -21,10 +21,10 @@
 from pondpin.request_identity import show
 
 if TYPE_CHECKING:
-    from pondpin.relay.peers.permit_desk import PermitDesk
+    from pondpin.relay.peers.permit_desk import PermitIssuer
 
 # Gives the desk of permits, which is loaded with the first limit of an upstream.
-DeskSource = Callable[[], "PermitDesk"]
+DeskSource = Callable[[], "PermitIssuer"]
 
 
 class Lifted(msgspec.Struct, frozen=True):
@@ -133,7 +133,7 @@
 def _show(state: UpstreamState, desk: DeskSource, now: float) -> ShownUpstream:
     kind, source, age, left = _stands(state, now)
     listed = state.listed
-    home = desk().home(state) if state.is_limited else None
+    home = desk().owner(state) if state.is_limited else None
     return ShownUpstream(
         listed.id,
         listed.service,
@@ -212,7 +212,7 @@
             labels = {"upstream": state.id}
             desk = self.desk()
             self.metrics.upstream_limit.set(labels, told_limit(state.standing.limit))
-            rate = desk.rate(state) if desk.is_home(state) else 0.0
+            rate = desk.rate(state) if desk.is_owner(state) else 0.0
             self.metrics.upstream_permits.set(labels, rate)
 
     def _show_or_lift(self, incoming: Incoming, reply: Reply) -> None:
--- a/pondpin/relay/peers/controller.py
+++ b/pondpin/relay/peers/controller.py
@@ -22,5 +22,5 @@
         """One round."""
         now = self._clock()
         self._publication.settle(now)
-        self._gossip.note_silence(now)
+        self._gossip.update_silent_data_centers(now)
         self._gossip.send(now)
--- a/pondpin/relay/peers/description.py
+++ b/pondpin/relay/peers/description.py
@@ -8,7 +8,7 @@
     Digest,
     EjectedDigest,
 )
-from pondpin.relay.peers.news import round_up
+from pondpin.relay.peers.news import round_up_ms
 from pondpin.relay.periods import PERIOD_SECONDS
 
 if TYPE_CHECKING:
@@ -17,16 +17,16 @@
 # Hosts of the own data centre, and of others, that a digest mentions.
 HOSTS_TOLD = 4
 # Upstreams found last to leave are told; the list says it of all a moment later.
-LEAVING_TOLD = 32
+MAX_DIGEST_LEAVING = 32
 
 
-class Description:
+class DigestBuilder:
     """Everything that the digests of an instance tell of."""
 
     def __init__(self, gossip: "Gossip") -> None:
         self._gossip = gossip
 
-    def make(self, now: float) -> Digest:
+    def build(self, now: float) -> Digest:
         """A digest, but for the echo."""
         gossip, table, publication = self._gossip, self._gossip.table, self._gossip.publication
         in_force = publication.in_force
@@ -47,22 +47,22 @@
             echo_boot=0,
             echo=-1,
             revision=in_force.revision,
-            proof_age=round_up(proof_age),
+            proof_age=round_up_ms(proof_age),
             list_tag=publication.list_tag,
-            list_age=-1 if list_at is None else round_up(now - list_at),
+            list_age=-1 if list_at is None else round_up_ms(now - list_at),
             data_center=table.data_center,
             reads_source=gossip.reads_source(),
-            leaving=table.leaving_by_turns(LEAVING_TOLD, now),
+            leaving=table.leaving_by_turns(MAX_DIGEST_LEAVING, now),
             ejected=self._ejected(now),
             work=tuple(work for work in works if work is not None),
             hosts=self._some(near),
             far_hosts=self._some(far),
-            quiet=round_up(PERIOD_SECONDS),
+            quiet=round_up_ms(PERIOD_SECONDS),
             asks=False,
             waiting=gossip.calendar.digest(now),
             quarantine_tag=gossip.quarantine.tag,
-            limits=gossip.limits.told(now) if table.standings.names_limits else (),
-            hands_out=not gossip.is_stopping,
+            limits=gossip.limits.digests(now) if table.standings.names_limits else (),
+            issues_permits=not gossip.is_stopping,
             epoch=publication.epoch,
             version=in_force.version if publication.configuration is not None else None,
             version_epoch=in_force.epoch,
@@ -72,7 +72,7 @@
         """Hosts heard in the own data centre and in others; by these everybody learns of all."""
         near: list[str] = []
         far: list[str] = []
-        for peer in self._gossip.known.by_host.values():
+        for peer in self._gossip.peer_table.by_host.values():
             (near if peer.data_center == self._gossip.table.data_center else far).append(peer.host)
         return near, far
 
--- a/pondpin/relay/peers/digests.py
+++ b/pondpin/relay/peers/digests.py
@@ -18,17 +18,17 @@
 MILLISECONDS = 1000.0
 # A peer that was silent for so long is not counted among the live ones: several digests.
 ALIVE_SECONDS = 1.2
-FORGET_SECONDS = 60.0
+PEER_EXPIRY_SECONDS = 60.0
 # In a large fleet a peer says how long it will be silent; this many such times may pass.
-QUIET_TIMES = 3
+ALIVE_INTERVALS = 3
 # Up to so many peers everybody tells everybody: the fleets of today.
-SMALL_FLEET = 16
+SMALL_FLEET_PEERS = 16
 # Three digests in a row of every peer of a data centre are missing: it is cut off or down.
 SILENT_SECONDS = 0.65
 # The same in a large fleet, where each instance asks one peer of a data centre at a time.
-LARGE_SILENT_SECONDS = 2.0
+LARGE_FLEET_SILENT_SECONDS = 2.0
 # After this the sign is too old to avoid a data centre's upstreams by.
-SILENCE_COUNTS_SECONDS = 10.0
+SILENCE_EXPIRY_SECONDS = 10.0
 
 
 class EjectedDigest(msgspec.Struct, frozen=True, array_like=True):
@@ -37,10 +37,10 @@
     """
 
     life: int
-    left: int
+    remaining_ms: int
 
 
-class LimitTold(msgspec.Struct, frozen=True, array_like=True):
+class LimitDigest(msgspec.Struct, frozen=True, array_like=True):
     """The limit of a life, -1 for none any more; ages in ms, see LimitWord."""
 
     life: int
@@ -89,8 +89,8 @@
     waiting: tuple[QueuedPromptDigest, ...] = ()
     far_hosts: tuple[str, ...] = ()
     quarantine_tag: int = 0
-    limits: tuple[LimitTold, ...] = ()
-    hands_out: bool = True
+    limits: tuple[LimitDigest, ...] = ()
+    issues_permits: bool = True
     epoch: int = 0
     version: int | None = None
     version_epoch: int = 0
@@ -115,7 +115,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerSeen:
+class PeerRecord:
     """A peer as last heard; heard_at by this process's steady clock."""
 
     instance: str
@@ -123,16 +123,16 @@
     host: str
     sequence: int
     stamp: int
-    heard_at: float
+    last_seen_at: float
     data_center: str
     reads_source: bool
-    quiet: float = 0.0
-    hands_out: bool = True
+    interval: float = 0.0
+    issues_permits: bool = True
 
     @property
     def alive_until(self) -> float:
         """Until when it counts as alive if it is not heard again."""
-        return self.heard_at + max(ALIVE_SECONDS, QUIET_TIMES * self.quiet)
+        return self.last_seen_at + max(ALIVE_SECONDS, ALIVE_INTERVALS * self.interval)
 
     def is_alive(self, now: float) -> bool:
         """Whether it was heard as lately as it should have been."""
@@ -144,22 +144,22 @@
 
     def __init__(self, own_boot: int) -> None:
         self._own_boot = own_boot
-        self.by_host: dict[str, PeerSeen] = {}
-        self._alive_by_host: dict[str, PeerSeen] = {}
+        self.by_host: dict[str, PeerRecord] = {}
+        self._alive_by_host: dict[str, PeerRecord] = {}
         # No peer of those falls silent before this.
         self._alive_until = float("inf")
         self._heard_at_by_center: dict[str, float] = {}
         # Rises whenever a peer joins or leaves the live ones.
-        self.changes = 0
+        self.change_count = 0
 
-    def take(self, digest: Digest, now: float) -> bool:
+    def apply(self, digest: Digest, now: float) -> bool:
         """Note a digest; False for one's own, or one that was overtaken by a later one."""
         if digest.boot == self._own_boot:
             return False
         known = self.by_host.get(digest.host)
         if known is not None and known.boot == digest.boot and digest.sequence <= known.sequence:
             return False
-        seen = PeerSeen(
+        seen = PeerRecord(
             digest.instance,
             digest.boot,
             digest.host,
@@ -169,26 +169,26 @@
             digest.data_center,
             digest.reads_source,
             digest.quiet / MILLISECONDS,
-            digest.hands_out,
+            digest.issues_permits,
         )
         self.by_host[digest.host] = seen
         self._heard_at_by_center[seen.data_center] = now
         self._note_alive(seen, known)
         return True
 
-    def _note_alive(self, seen: PeerSeen, known: PeerSeen | None) -> None:
+    def _note_alive(self, seen: PeerRecord, known: PeerRecord | None) -> None:
         is_same = known is not None and known.instance == seen.instance
         if not is_same or seen.host not in self._alive_by_host:
-            self.changes += 1
+            self.change_count += 1
         self._alive_by_host[seen.host] = seen
         self._alive_until = min(self._alive_until, seen.alive_until)
 
     @property
     def is_large(self) -> bool:
         """Whether there are too many peers to tell everybody everything."""
-        return len(self.by_host) > SMALL_FLEET
+        return len(self.by_host) > SMALL_FLEET_PEERS
 
-    def alive(self, now: float) -> list[PeerSeen]:
+    def alive(self, now: float) -> list[PeerRecord]:
         """Peers heard lately."""
         if now >= self._alive_until:
             self._drop_silent(now)
@@ -197,22 +197,24 @@
     def _drop_silent(self, now: float) -> None:
         alive = [peer for peer in self._alive_by_host.values() if peer.is_alive(now)]
         if len(alive) < len(self._alive_by_host):
-            self.changes += 1
+            self.change_count += 1
         self._alive_by_host = {peer.host: peer for peer in alive}
         self._alive_until = min((peer.alive_until for peer in alive), default=float("inf"))
 
-    def silent_centers(self, now: float) -> frozenset[str]:
+    def silent_data_centers(self, now: float) -> frozenset[str]:
         """Data centres whose peers were heard a while ago and are all silent now."""
-        limit = LARGE_SILENT_SECONDS if self.is_large else SILENT_SECONDS
+        limit = LARGE_FLEET_SILENT_SECONDS if self.is_large else SILENT_SECONDS
         return frozenset(
             name
             for name, heard_at in self._heard_at_by_center.items()
-            if limit < now - heard_at < SILENCE_COUNTS_SECONDS
+            if limit < now - heard_at < SILENCE_EXPIRY_SECONDS
         )
 
-    def forget(self, now: float) -> list[PeerSeen]:
+    def expire(self, now: float) -> list[PeerRecord]:
         """Drop peers that are long silent; returns them."""
-        gone = [peer for peer in self.by_host.values() if now - peer.heard_at > FORGET_SECONDS]
+        gone = [
+            peer for peer in self.by_host.values() if now - peer.last_seen_at > PEER_EXPIRY_SECONDS
+        ]
         for peer in gone:
             del self.by_host[peer.host]
         return gone
@@ -227,12 +229,12 @@
         if not self.is_large:
             return sum(1 for peer in readers if peer.instance < instance)
         near = [peer for peer in readers if peer.data_center == data_center]
-        others = {peer.data_center for peer in readers} - self.silent_centers(now)
+        others = {peer.data_center for peer in readers} - self.silent_data_centers(now)
         before = sum(1 for name in others if name < data_center)
         return before + sum(1 for peer in near if peer.instance < instance)
 
 
-def told_version(digest: Digest, in_force: PublishedVersion) -> PublishedVersion | None:
+def digest_version(digest: Digest, in_force: PublishedVersion) -> PublishedVersion | None:
     """The configuration that a peer has in force, None for none.
 
     An earlier release tells its revision only: that can be compared while the source has named no
@@ -245,7 +247,7 @@
     return PublishedVersion(digest.version, digest.version_epoch, digest.revision)
 
 
-def asked_at(digest: Digest, own_boot: int) -> float | None:
+def echo_sent_at(digest: Digest, own_boot: int) -> float | None:
     """When this process sent the digest that the peer had heard; None when it had heard none."""
     if digest.echo < 0 or digest.echo_boot != own_boot:
         return None
--- a/pondpin/relay/peers/fan_out.py
+++ b/pondpin/relay/peers/fan_out.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from pondpin.relay.peers.digests import PeerSeen, PeerTable
+from pondpin.relay.peers.digests import PeerRecord, PeerTable
 from pondpin.relay.periods import PERIOD_SECONDS
 
 # Neighbours of a large fleet hear at least so often that an instance has nothing new.
@@ -20,14 +20,14 @@
 HEARTBEAT_FAN_OUT = 8
 # A peer of each other data centre is asked this often: proofs pass through three data centres
 # before the last in rank would read by itself.
-FAR_SECONDS = 0.5
+FAR_INTERVAL_SECONDS = 0.5
 # Bytes a second for neighbours; what is saved up lasts for a burst of this many seconds.
 NEAR_BYTES_PER_SECOND = 12_288
 BURST_SECONDS = 1.0
 # Headers of IP and UDP, which the budget counts too.
 PACKET_BYTES = 28
 # However tight the budget, a change reaches so many neighbours.
-FEWEST_TOLD = 3
+MIN_FAN_OUT = 3
 USUAL_DIGEST_BYTES = 200
 
 
@@ -35,10 +35,10 @@
 class Round:
     """Peers to tell now; quiet: seconds after which they will probably hear again."""
 
-    near: tuple[PeerSeen, ...]
-    far: tuple[PeerSeen, ...]
-    quiet: float
-    far_quiet: float
+    near: tuple[PeerRecord, ...]
+    far: tuple[PeerRecord, ...]
+    interval: float
+    far_interval: float
 
 
 class FanOut:
@@ -65,23 +65,23 @@
         return Round(
             near=told,
             far=self._choose_far(far, now, urgent),
-            quiet=HEARTBEAT_SECONDS * rounds,
-            far_quiet=FAR_SECONDS * max(1, len(near)),
+            interval=HEARTBEAT_SECONDS * rounds,
+            far_interval=FAR_INTERVAL_SECONDS * max(1, len(near)),
         )
 
-    def note_bytes(self, size: int) -> None:
+    def record_bytes(self, size: int) -> None:
         """A digest of this size went to a neighbour."""
         self._digest_bytes = size + PACKET_BYTES
         self._saved -= self._digest_bytes
 
     def _choose_near(
-        self, near: Sequence[PeerSeen], now: float, changed: bool
-    ) -> tuple[PeerSeen, ...]:
+        self, near: Sequence[PeerRecord], now: float, changed: bool
+    ) -> tuple[PeerRecord, ...]:
         if not changed and now - self._told_at < HEARTBEAT_SECONDS:
             return ()
         self._told_at = now
         self._save(now)
-        affordable = max(FEWEST_TOLD, int(self._saved / self._digest_bytes))
+        affordable = max(MIN_FAN_OUT, int(self._saved / self._digest_bytes))
         if not changed:
             affordable = min(affordable, HEARTBEAT_FAN_OUT)
         if affordable >= len(near):
@@ -95,12 +95,12 @@
         self._saved = min(self._saved, NEAR_BYTES_PER_SECOND * BURST_SECONDS)
 
     def _choose_far(
-        self, far: Sequence[PeerSeen], now: float, urgent: bool
-    ) -> tuple[PeerSeen, ...]:
-        if not urgent and now - self._asked_at < FAR_SECONDS:
+        self, far: Sequence[PeerRecord], now: float, urgent: bool
+    ) -> tuple[PeerRecord, ...]:
+        if not urgent and now - self._asked_at < FAR_INTERVAL_SECONDS:
             return ()
         self._asked_at = now
-        by_center: dict[str, list[PeerSeen]] = defaultdict(list)
+        by_center: dict[str, list[PeerRecord]] = defaultdict(list)
         for peer in far:
             by_center[peer.data_center].append(peer)
         return tuple(self._rng.choice(peers) for peers in by_center.values())
--- a/pondpin/relay/peers/gossip.py
+++ b/pondpin/relay/peers/gossip.py
@@ -21,28 +21,28 @@
     PeersChanged,
     UpstreamLeaving,
 )
-from pondpin.relay.peers.description import Description
+from pondpin.relay.peers.description import DigestBuilder
 from pondpin.relay.peers.digests import (
+    ALIVE_INTERVALS,
     MILLISECONDS,
-    QUIET_TIMES,
     Digest,
-    PeerSeen,
+    PeerRecord,
     PeerTable,
     decode_digest,
     encode_digest,
 )
 from pondpin.relay.peers.fan_out import FanOut, Round
-from pondpin.relay.peers.hosts import GossipAddress, HostBook
-from pondpin.relay.peers.news import news_of, round_up
-from pondpin.relay.peers.published_news import PublishedNews
-from pondpin.relay.peers.quarantine_news import QuarantineNews
+from pondpin.relay.peers.hosts import GossipAddress, PeerHosts
+from pondpin.relay.peers.news import round_up_ms, urgent_fields
+from pondpin.relay.peers.published_news import PublishedSync
+from pondpin.relay.peers.quarantine_news import QuarantineSync
 from pondpin.relay.published.publication import Publication
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.table import PEER_LOAD_SECONDS, UpstreamTable
 
 if TYPE_CHECKING:
-    from pondpin.relay.peers.limit_keeping import LimitKeeping
-    from pondpin.relay.peers.long_read_news import LongReadNews
+    from pondpin.relay.peers.limit_keeping import LimitEnforcement
+    from pondpin.relay.peers.long_read_news import LongPrefillSync
     from pondpin.relay.published.pieces import PiecePort
 
 # Out of turn digests are at least so far apart.
@@ -63,7 +63,7 @@
     seeds: tuple[str, ...]
     publication: Publication
     table: UpstreamTable
-    peers: "PiecePort"
+    piece_port: "PiecePort"
     log: EventLog
     clock: Clock
     rng: random.Random
@@ -79,71 +79,71 @@
 
     def __post_init__(self) -> None:
         """Set up the table."""
-        self.known = PeerTable(self.boot)
+        self.peer_table = PeerTable(self.boot)
         self._fan_out = FanOut(self.table.data_center, self.rng)
         self._told: tuple[object, ...] = ()
-        self.host_book = HostBook(self.address.host, self.table.data_center, self.seeds)
+        self.peer_hosts = PeerHosts(self.address.host, self.table.data_center, self.seeds)
         self._peer_changes = 0
         self._hello_at = 0.0
         self._sent_at = 0.0
         self._telling = False
         self._tasks: set[asyncio.Task[None]] = set()
         self._alive: set[str] = set()
-        self.quarantine_news = QuarantineNews(
+        self.quarantine_sync = QuarantineSync(
             self.instance, self.boot, self.quarantine, self.write, lambda: self.hosts, self.clock
         )
-        self._description = Description(self)
-        self._published = PublishedNews(self)
+        self._description = DigestBuilder(self)
+        self._published = PublishedSync(self)
         self.transport: DatagramPort | None = None
 
     @property
     def hosts(self) -> frozenset[str]:
         """Every host that is or may be a peer."""
-        return self.host_book.all
+        return self.peer_hosts.all
 
     @property
-    def hears_peers(self) -> bool:
+    def has_live_peers(self) -> bool:
         """Whether any peer was heard before the last digest went out."""
         return bool(self._alive)
 
     @cached_property
-    def limits(self) -> "LimitKeeping":
+    def limits(self) -> "LimitEnforcement":
         """What keeps to limits of upstreams; loaded where one names a limit, which few ever do."""
-        from pondpin.relay.peers.limit_keeping import LimitKeeping
+        from pondpin.relay.peers.limit_keeping import LimitEnforcement
 
-        return LimitKeeping(self)
+        return LimitEnforcement(self)
 
     @cached_property
-    def _long_reads(self) -> "LongReadNews":
+    def _long_reads(self) -> "LongPrefillSync":
         """Loaded where long prompts are told of, in large fleets only."""
-        from pondpin.relay.peers.long_read_news import LongReadNews
+        from pondpin.relay.peers.long_read_news import LongPrefillSync
 
-        return LongReadNews(self.instance, self.boot, self.table)
+        return LongPrefillSync(self.instance, self.boot, self.table)
 
-    def note_sent(self, state: UpstreamState) -> None:
+    def record_sent(self, state: UpstreamState) -> None:
         """Something that needs no permit goes to an upstream: it counts for a limit of it."""
         if state.is_limited:
-            self.limits.permits.note_spent(state)
+            self.limits.permits.record_spent(state)
 
-    def note_life_sent(self, life: int) -> None:
+    def record_life_sent(self, life: int) -> None:
         """As note_sent, by the number of its life."""
         state = self.table.by_life(life)
         if state is not None:
-            self.note_sent(state)
+            self.record_sent(state)
 
     def rank(self, now: float) -> int:
         """How many live peers read the source before this instance."""
-        return self.known.rank(self.instance, self.table.data_center, now)
+        return self.peer_table.rank(self.instance, self.table.data_center, now)
 
     def turn_of(self, identity: int) -> int:
         """This instance's place among the live ones in a request's order."""
         return turn_of(identity, self.instance, self._alive)
 
-    def count_tellers(self) -> int:
+    def count_reporting_peers(self) -> int:
         """Peers whose digests tell of their work: in a large fleet those of the data centre."""
-        if not self.known.is_large:
+        if not self.peer_table.is_large:
             return len(self.hosts)
-        alive = self.known.alive(self.clock())
+        alive = self.peer_table.alive(self.clock())
         return sum(1 for peer in alive if peer.data_center == self.table.data_center)
 
     def listen(self) -> None:
@@ -167,20 +167,20 @@
         self.bytes_in += len(data)
         digest = decode_digest(data)
         if digest is not None:
-            self.take(digest, self.clock())
+            self.apply(digest, self.clock())
             return
         now = self.clock()
-        is_known = self.quarantine_news.receive(data, now) or self._long_reads.receive(data, now)
+        is_known = self.quarantine_sync.receive(data, now) or self._long_reads.receive(data, now)
         if not is_known:
             self.limits.receive(data, now)
 
-    def take(self, digest: Digest, now: float) -> None:
+    def apply(self, digest: Digest, now: float) -> None:
         """Believe what a digest says, dated by this process's clock."""
-        if not self.known.take(digest, now):
+        if not self.peer_table.apply(digest, now):
             return
-        self.quarantine_news.compare(digest, now)
-        near = self.host_book.note((digest.host, *digest.hosts), digest.data_center, now)
-        if self.host_book.note(digest.far_hosts, "", now) or near:
+        self.quarantine_sync.sync_peer(digest, now)
+        near = self.peer_hosts.add((digest.host, *digest.hosts), digest.data_center, now)
+        if self.peer_hosts.add(digest.far_hosts, "", now) or near:
             # A new host is greeted with the next digests.
             self._hello_at = float("-inf")
         self._published.receive(digest, now)
@@ -189,11 +189,11 @@
                 name = self.table.name_of(life)
                 self.log.write(UpstreamLeaving(upstream=name, source=f"peer {digest.instance}"))
         if digest.limits:
-            self.limits.news.take(digest.limits, digest.instance, now)
+            self.limits.sync.apply(digest.limits, digest.instance, now)
         for ejected in digest.ejected:
-            self.table.suspect(ejected.life, now + ejected.left / MILLISECONDS)
+            self.table.suspect(ejected.life, now + ejected.remaining_ms / MILLISECONDS)
         quiet = digest.quiet / MILLISECONDS
-        until = now + max(PEER_LOAD_SECONDS, QUIET_TIMES * quiet)
+        until = now + max(PEER_LOAD_SECONDS, ALIVE_INTERVALS * quiet)
         self.table.take_peer_work(digest.instance, digest.work, now, until)
         self.calendar.update_peer(digest.instance, digest.waiting, now, until)
         self.table.center_loads.take(digest.data_center, digest.center_loads, now)
@@ -203,15 +203,15 @@
     def _answer(self, asking: Digest, now: float) -> None:
         """Tell a peer of another data centre at once, so that it can date what it hears."""
         base = msgspec.structs.replace(
-            self.describe(now),
+            self.build_digest(now),
             work=(),
             waiting=(),
             quiet=asking.quiet,
             center_loads=self.table.own_center_loads(now),
         )
-        self._post(base, asking.host, self.known.by_host.get(asking.host))
+        self._post(base, asking.host, self.peer_table.by_host.get(asking.host))
 
-    def tell_soon(self) -> None:
+    def send_soon(self) -> None:
         """Send a digest out of turn, so that peers learn of a big choice."""
         wait = self._sent_at + URGENT_SECONDS - self.clock()
         if wait <= 0:
@@ -225,12 +225,12 @@
         self._telling = False
         self.send(self.clock())
 
-    def tell_long_reads(self) -> None:
+    def broadcast_long_prefills(self) -> None:
         """Tell every instance which long prompts of this one are being read.
 
         In a small fleet the digests that are due at the same time tell everybody.
         """
-        if not self.known.is_large or self.transport is None:
+        if not self.peer_table.is_large or self.transport is None:
             return
         self.sequence += 1
         data = self._long_reads.message(self.sequence, self.clock())
@@ -238,7 +238,7 @@
             self.bytes_out += len(data)
             self.write(data, host)
 
-    def tell_news(self) -> None:
+    def send_urgent(self) -> None:
         """Send a digest out of turn, also to other data centres: something new was read."""
         self.send(self.clock(), urgent=True)
 
@@ -248,20 +248,20 @@
             return
         self._sent_at = now
         self._note_alive(now)
-        base = self.describe(now)
-        news = news_of(base)
-        turn = self._fan_out.next_round(self.known, now, news != self._told, urgent)
+        base = self.build_digest(now)
+        news = urgent_fields(base)
+        turn = self._fan_out.next_round(self.peer_table, now, news != self._told, urgent)
         if turn.near:
             self._told = news
-        near = msgspec.structs.replace(base, quiet=round_up(turn.quiet))
+        near = msgspec.structs.replace(base, quiet=round_up_ms(turn.interval))
         for peer in turn.near:
-            self._fan_out.note_bytes(self._post(near, peer.host, peer))
+            self._fan_out.record_bytes(self._post(near, peer.host, peer))
         if turn.far:
             self._ask_far(base, turn, now)
         if now - self._hello_at >= HELLO_SECONDS:
             self._hello_at = now
-            quiet = turn.far_quiet if self.known.is_large else turn.quiet
-            self._greet(msgspec.structs.replace(base, quiet=round_up(quiet)), now)
+            quiet = turn.far_interval if self.peer_table.is_large else turn.interval
+            self._greet(msgspec.structs.replace(base, quiet=round_up_ms(quiet)), now)
 
     def _ask_far(self, base: Digest, turn: Round, now: float) -> None:
         """Tell peers of other data centres, and ask for theirs."""
@@ -270,7 +270,7 @@
             work=(),
             waiting=(),
             asks=True,
-            quiet=round_up(turn.far_quiet),
+            quiet=round_up_ms(turn.far_interval),
             center_loads=self.table.own_center_loads(now),
         )
         for peer in turn.far:
@@ -278,13 +278,13 @@
 
     def _greet(self, base: Digest, now: float) -> None:
         """Try hosts that are not heard, and forget those that nobody mentions any more."""
-        silent = self.host_book.worth_greeting(self.known, now)
+        silent = self.peer_hosts.hosts_to_contact(self.peer_table, now)
         for host in self.rng.sample(silent, min(MOST_HELLOS, len(silent))):
-            self._post(base, host, self.known.by_host.get(host))
-        self.known.forget(now)
-        self.host_book.forget(now)
+            self._post(base, host, self.peer_table.by_host.get(host))
+        self.peer_table.expire(now)
+        self.peer_hosts.expire(now)
 
-    def _post(self, base: Digest, host: str, peer: PeerSeen | None) -> int:
+    def _post(self, base: Digest, host: str, peer: PeerRecord | None) -> int:
         """Send a digest with the receiver's echo; returns its bytes."""
         self.sequence += 1
         digest = msgspec.structs.replace(
@@ -308,23 +308,23 @@
             # A datagram is allowed to be lost; the next one goes out in a moment.
             self.log.write(FetchFailed(peer=host, reason=f"datagram: {error}"))
 
-    def describe(self, now: float) -> Digest:
+    def build_digest(self, now: float) -> Digest:
         """What this instance tells, but for the echo."""
-        return self._description.make(now)
+        return self._description.build(now)
 
-    def note_silence(self, now: float) -> None:
+    def update_silent_data_centers(self, now: float) -> None:
         """Tell the upstreams' table which data centres can't be heard."""
-        silent = self.known.silent_centers(now)
+        silent = self.peer_table.silent_data_centers(now)
         for name in silent ^ self.table.silent_centers:
             self.log.write(DataCenterChanged(data_center=name, silent=name in silent))
         self.table.silent_centers = silent
-        self.table.peers_tell_all = not self.known.is_large
+        self.table.peers_tell_all = not self.peer_table.is_large
 
     def _note_alive(self, now: float) -> None:
-        alive_peers = self.known.alive(now)
-        if self.known.changes == self._peer_changes:
+        alive_peers = self.peer_table.alive(now)
+        if self.peer_table.change_count == self._peer_changes:
             return
-        self._peer_changes = self.known.changes
+        self._peer_changes = self.peer_table.change_count
         alive = {peer.instance for peer in alive_peers}
         heard, lost = tuple(sorted(alive - self._alive)), tuple(sorted(self._alive - alive))
         if heard or lost:
--- a/pondpin/relay/peers/hosts.py
+++ b/pondpin/relay/peers/hosts.py
@@ -21,7 +21,7 @@
     document_port: int
 
 
-class HostBook:
+class PeerHosts:
     """Every host but the own one, by what the settings and peers say."""
 
     def __init__(self, own: str, data_center: str, seeds: tuple[str, ...]) -> None:
@@ -50,7 +50,7 @@
             self._all = frozenset((mentioned | set(self._seeds)) - {self._own})
         return self._all
 
-    def note(self, hosts: Iterable[str], data_center: str, now: float) -> bool:
+    def add(self, hosts: Iterable[str], data_center: str, now: float) -> bool:
         """Note hosts of a data centre ("" if not known); whether one of them is new."""
         found = False
         for host in hosts:
@@ -62,7 +62,7 @@
             self._mentioned_at_by_host[host] = now
         return found
 
-    def forget(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Drop those that nobody mentions any more."""
         for host, at in list(self._mentioned_at_by_host.items()):
             if now - at > HOST_SECONDS:
@@ -70,7 +70,7 @@
                 self._center_by_host.pop(host, None)
                 self._all = None
 
-    def worth_greeting(self, known: PeerTable, now: float) -> list[str]:
+    def hosts_to_contact(self, known: PeerTable, now: float) -> list[str]:
         """Silent hosts to be heard: neighbours, and in a large fleet a few of each other centre.
 
         Greeting all took 16 of the 43 digests a second of an idle instance among 195, and
--- a/pondpin/relay/peers/limit_keeping.py
+++ b/pondpin/relay/peers/limit_keeping.py
@@ -2,22 +2,22 @@
 
 from typing import TYPE_CHECKING
 
-from pondpin.relay.peers.digests import LimitTold
-from pondpin.relay.peers.limit_news import LimitNews
-from pondpin.relay.peers.limits_told import lives_to_tell, tell_limits
-from pondpin.relay.peers.permit_desk import Members, PermitDesk
-from pondpin.relay.peers.permits import Permits
+from pondpin.relay.peers.digests import LimitDigest
+from pondpin.relay.peers.limit_news import LimitSync
+from pondpin.relay.peers.limits_told import limit_digests, lives_to_send
+from pondpin.relay.peers.permit_desk import Membership, PermitIssuer
+from pondpin.relay.peers.permits import PermitBroker
 
 if TYPE_CHECKING:
     from pondpin.relay.peers.gossip import Gossip
 
 
-class LimitKeeping:
+class LimitEnforcement:
     """All of it, on an instance's datagrams and its knowledge of peers."""
 
     def __init__(self, gossip: "Gossip") -> None:
         self._gossip = gossip
-        self.news = LimitNews(
+        self.sync = LimitSync(
             gossip.instance,
             gossip.boot,
             gossip.table,
@@ -25,45 +25,45 @@
             lambda: gossip.hosts,
             gossip.log,
         )
-        self.desk = PermitDesk(
+        self.issuer = PermitIssuer(
             gossip.instance,
             gossip.table,
-            self.members,
+            self.membership,
             lambda: gossip.is_settled(),
             gossip.log,
             gossip.clock,
         )
-        self.permits = Permits(
-            self.desk, gossip.boot, gossip.address.host, gossip.write, gossip.clock, gossip.rng
+        self.permits = PermitBroker(
+            self.issuer, gossip.boot, gossip.address.host, gossip.write, gossip.clock, gossip.rng
         )
 
     @property
     def bytes_out(self) -> int:
         """Bytes of datagrams that were sent, headers aside."""
-        return self.news.bytes_out + self.permits.bytes_out
+        return self.sync.bytes_out + self.permits.bytes_out
 
     def receive(self, data: bytes, now: float) -> bool:
         """Take a datagram; False when it is none of these."""
-        return self.permits.receive(data, now) or self.news.receive(data, now)
+        return self.permits.receive(data, now) or self.sync.receive(data, now)
 
-    def told(self, now: float) -> tuple[LimitTold, ...]:
+    def digests(self, now: float) -> tuple[LimitDigest, ...]:
         """What digests tell."""
         table = self._gossip.table
-        return tell_limits(table, lives_to_tell(table, now), now)
+        return limit_digests(table, lives_to_send(table, now), now)
 
-    def members(self, data_center: str) -> Members:
+    def membership(self, data_center: str) -> Membership:
         """The instances that may hand out permits of a data centre's upstreams.
 
         Where none of it was ever heard, all may: nobody there can.
         """
         gossip = self._gossip
-        now, known = gossip.clock(), gossip.known.by_host.values()
+        now, known = gossip.clock(), gossip.peer_table.by_host.values()
         peers = [item for item in known if item.data_center == data_center]
         is_here = data_center == gossip.table.data_center
         if not peers and not is_here:
             peers, is_here = list(known), True
         alive = [peer for peer in peers if peer.is_alive(now)]
-        hosts_by_name = {peer.instance: peer.host for peer in alive if peer.hands_out}
+        hosts_by_name = {peer.instance: peer.host for peer in alive if peer.issues_permits}
         if is_here and (not gossip.is_stopping or not hosts_by_name):
             hosts_by_name[gossip.instance] = gossip.address.host
-        return Members(hosts_by_name, len(alive) + is_here, len(peers) + is_here)
+        return Membership(hosts_by_name, len(alive) + is_here, len(peers) + is_here)
--- a/pondpin/relay/peers/limit_news.py
+++ b/pondpin/relay/peers/limit_news.py
@@ -11,20 +11,20 @@
 from pondpin.limits import LimitWord, hear_limit, told_limit
 from pondpin.relay.limit_events import UpstreamLimit
 from pondpin.relay.log import EventLog
-from pondpin.relay.peers.digests import LimitTold
+from pondpin.relay.peers.digests import LimitDigest
 from pondpin.relay.peers.limits_told import (
     LIMITS_FORMAT,
-    LimitsNews,
+    LimitsMessage,
     decode_limits,
     encode_limits,
-    heard_word,
-    tell_limits,
+    limit_digests,
+    to_limit_word,
 )
 from pondpin.relay.upstreams.table import UpstreamTable
 
 
 @dataclass
-class LimitNews:
+class LimitSync:
     """Tells what this instance heard in answers, and takes what others tell."""
 
     instance: str
@@ -35,10 +35,10 @@
     log: EventLog
     bytes_out: int = 0
 
-    def tell(self, life: int, now: float) -> None:
+    def broadcast(self, life: int, now: float) -> None:
         """Tell every instance of a life's limit."""
-        limits = tell_limits(self.table, (life,), now)
-        data = encode_limits(LimitsNews(LIMITS_FORMAT, self.instance, self.boot, limits))
+        limits = limit_digests(self.table, (life,), now)
+        data = encode_limits(LimitsMessage(LIMITS_FORMAT, self.instance, self.boot, limits))
         for host in self.hosts():
             self.bytes_out += len(data)
             self.write(data, host)
@@ -49,13 +49,13 @@
         if news is None:
             return False
         if news.boot != self.boot:
-            self.take(news.limits, news.instance, now)
+            self.apply(news.limits, news.instance, now)
         return True
 
-    def take(self, limits: Iterable[LimitTold], instance: str, now: float) -> None:
+    def apply(self, limits: Iterable[LimitDigest], instance: str, now: float) -> None:
         """Believe what an instance tells, where its word is the one that counts."""
         for told in limits:
-            word = heard_word(told, f"peer {instance}", now)
+            word = to_limit_word(told, f"peer {instance}", now)
             if word is not None:
                 self._take(told.life, word, now)
 
--- a/pondpin/relay/peers/limits_told.py
+++ b/pondpin/relay/peers/limits_told.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from pondpin.limits import LimitWord, told_limit
-from pondpin.relay.peers.digests import LimitTold
+from pondpin.relay.peers.digests import LimitDigest
 from pondpin.relay.upstreams.table import UpstreamTable
 
 # The first number of a message; digests, long reads and the quarantine's ends have theirs there.
@@ -19,25 +19,25 @@
 MILLISECONDS = 1000.0
 
 
-class LimitsNews(msgspec.Struct, frozen=True, array_like=True):
+class LimitsMessage(msgspec.Struct, frozen=True, array_like=True):
     """Limits that their sender has just heard in answers."""
 
     format: int
     instance: str
     boot: int
-    limits: tuple[LimitTold, ...]
+    limits: tuple[LimitDigest, ...]
 
 
-_DECODER = msgspec.msgpack.Decoder(LimitsNews)
+_DECODER = msgspec.msgpack.Decoder(LimitsMessage)
 _ENCODER = msgspec.msgpack.Encoder()
 
 
-def encode_limits(news: LimitsNews) -> bytes:
+def encode_limits(news: LimitsMessage) -> bytes:
     """A message as a datagram."""
     return _ENCODER.encode(news)
 
 
-def decode_limits(data: bytes) -> LimitsNews | None:
+def decode_limits(data: bytes) -> LimitsMessage | None:
     """A message from a datagram; None for anything else."""
     try:
         found = _DECODER.decode(data)
@@ -46,11 +46,13 @@
     return found if found.format == LIMITS_FORMAT else None
 
 
-def tell_limits(table: UpstreamTable, lives: Iterable[int], now: float) -> tuple[LimitTold, ...]:
+def limit_digests(
+    table: UpstreamTable, lives: Iterable[int], now: float
+) -> tuple[LimitDigest, ...]:
     """The words on some lives as they are told."""
     words = [(life, table.standings.of(life).limit) for life in lives]
     return tuple(
-        LimitTold(
+        LimitDigest(
             life,
             told_limit(word),
             round((now - word.asked_at) * MILLISECONDS),
@@ -61,7 +63,7 @@
     )
 
 
-def heard_word(told: LimitTold, source: str, now: float) -> LimitWord | None:
+def to_limit_word(told: LimitDigest, source: str, now: float) -> LimitWord | None:
     """What was told a moment ago; None for what is no limit."""
     if not (told.limit >= 0 or told.limit == -1) or told.asked_age < told.heard_age:
         return None
@@ -73,7 +75,7 @@
     )
 
 
-def lives_to_tell(table: UpstreamTable, now: float) -> list[int]:
+def lives_to_send(table: UpstreamTable, now: float) -> list[int]:
     """Listed lives whose limits a digest tells, by turns where there are many."""
     lives = [
         state.life
--- a/pondpin/relay/peers/long_read_news.py
+++ b/pondpin/relay/peers/long_read_news.py
@@ -1,6 +1,6 @@
 """What instances tell each other of the long prompts that they have read at the moment."""
 
-from pondpin.relay.peers.news import ToldLast
+from pondpin.relay.peers.news import LastMessage
 from pondpin.relay.upstreams.long_reads import (
     LONG_READS_FORMAT,
     LongReads,
@@ -10,14 +10,14 @@
 from pondpin.relay.upstreams.table import UpstreamTable
 
 
-class LongReadNews:
+class LongPrefillSync:
     """Makes the messages of an instance, and takes those of others in their order."""
 
     def __init__(self, instance: str, boot: int, table: UpstreamTable) -> None:
         self._instance = instance
         self._boot = boot
         self._table = table
-        self._last_by_peer: dict[str, ToldLast] = {}
+        self._last_by_peer: dict[str, LastMessage] = {}
 
     def message(self, sequence: int, now: float) -> bytes:
         """What this instance has read now, as a datagram."""
@@ -30,14 +30,14 @@
         told = decode_long_reads(data)
         if told is None:
             return False
-        self.take(told, now)
+        self.apply(told, now)
         return True
 
-    def take(self, told: LongReads, now: float) -> None:
+    def apply(self, told: LongReads, now: float) -> None:
         """Believe what an instance says, unless it is this one or has said more since."""
         last = self._last_by_peer.get(told.instance)
-        is_old = last is not None and told.sequence <= last.after(told.boot)
+        is_old = last is not None and told.sequence <= last.last_sequence(told.boot)
         if told.boot == self._boot or is_old:
             return
-        self._last_by_peer[told.instance] = ToldLast(told.boot, told.sequence)
+        self._last_by_peer[told.instance] = LastMessage(told.boot, told.sequence)
         self._table.take_long_reads(told.instance, told.reads, now)
--- a/pondpin/relay/peers/news.py
+++ b/pondpin/relay/peers/news.py
@@ -6,18 +6,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ToldLast:
+class LastMessage:
     """The last message of an instance on its long prompts."""
 
     boot: int
     sequence: int
 
-    def after(self, boot: int) -> int:
+    def last_sequence(self, boot: int) -> int:
         """The sequence after which a message of some boot is news."""
         return self.sequence if boot == self.boot else -1
 
 
-def news_of(digest: Digest) -> tuple[object, ...]:
+def urgent_fields(digest: Digest) -> tuple[object, ...]:
     """What of a digest peers need to hear without delay; ages grow by themselves, limits are told
     at once elsewhere.
     """
@@ -43,9 +43,9 @@
         len(digest.ejected),
     )
     waiting = tuple(item.key for item in digest.waiting)
-    return (*told, digest.reads_source, work, waiting, digest.hands_out)
+    return (*told, digest.reads_source, work, waiting, digest.issues_permits)
 
 
-def round_up(seconds: float) -> int:
+def round_up_ms(seconds: float) -> int:
     """Milliseconds that never tell an age too small; -1 for a negative one."""
     return -1 if seconds < 0 else int(seconds * MILLISECONDS) + 1
--- a/pondpin/relay/peers/permit_desk.py
+++ b/pondpin/relay/peers/permit_desk.py
@@ -21,7 +21,7 @@
 from pondpin.relay.upstreams.table import UpstreamTable
 
 # A permit that is not spent within this after its moment counts no more: connecting may take 0.3 s.
-VALID_SECONDS = 0.5
+PERMIT_VALID_SECONDS = 0.5
 # An upstream that takes nothing at all is asked this often whether it still does: less than one
 # call in the 4 s for which the users count.
 SHUT_CHECK_SECONDS = 5.0
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Members:
+class Membership:
     """The instances that may hand out permits of a data centre's upstreams.
 
     hosts_by_name: those that do; live and known: how many were heard lately, and how many of them
@@ -38,17 +38,17 @@
     """
 
     hosts_by_name: Mapping[str, str]
-    live: int
-    known: int
+    live_count: int
+    known_count: int
 
     @property
     def share(self) -> float:
         """The part of a limit that this side may hand out: the others may be alive and cut off."""
-        return self.live / self.known if self.known else 0.0
+        return self.live_count / self.known_count if self.known_count else 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Home:
+class PermitOwner:
     """Who hands out the permits of a life, and the part of its limit; host is "" for nobody."""
 
     instance: str
@@ -56,10 +56,10 @@
     share: float
 
 
-NOBODY = Home("", "", 0.0)
+NOBODY = PermitOwner("", "", 0.0)
 
 
-def home_of(life: int, members: Members) -> Home:
+def owner_of(life: int, members: Membership) -> PermitOwner:
     """The home of a life by rendezvous hashing: few lives move when instances come or go."""
     if not members.hosts_by_name:
         return NOBODY
@@ -67,11 +67,11 @@
         members.hosts_by_name,
         key=lambda item: (xxhash.xxh64_intdigest(f"{life} {item}".encode()), item),
     )
-    return Home(name, members.hosts_by_name[name], members.share)
+    return PermitOwner(name, members.hosts_by_name[name], members.share)
 
 
 @dataclass
-class PermitDesk:
+class PermitIssuer:
     """The permits of the lives whose home this instance is.
 
     members tells who is in a data centre; is_settled: whether peers had the time to say that they
@@ -80,7 +80,7 @@
 
     instance: str
     table: UpstreamTable
-    members: Callable[[str], Members]
+    membership: Callable[[str], Membership]
     is_settled: Callable[[], bool]
     log: EventLog
     clock: Clock
@@ -88,23 +88,23 @@
 
     def __post_init__(self) -> None:
         """Set up what is looked up."""
-        self._home_by_life: dict[int, tuple[float, Home]] = {}
+        self._home_by_life: dict[int, tuple[float, PermitOwner]] = {}
         self._limit_by_life: dict[int, float] = {}
         self._checked_at_by_life: dict[int, float] = {}
 
-    def home(self, state: UpstreamState) -> Home:
+    def owner(self, state: UpstreamState) -> PermitOwner:
         """The home of an upstream's life."""
         now = self.clock()
         known = self._home_by_life.get(state.life)
         if known is not None and 0 <= now - known[0] < LOOK_SECONDS:
             return known[1]
-        found = home_of(state.life, self.members(state.listed.data_center))
+        found = owner_of(state.life, self.membership(state.listed.data_center))
         if known is None or known[1] != found:
             self._take_home(state, found)
         self._home_by_life[state.life] = (now, found)
         return found
 
-    def _take_home(self, state: UpstreamState, home: Home) -> None:
+    def _take_home(self, state: UpstreamState, home: PermitOwner) -> None:
         """A life has another home, or its home another part; a new home has saved nothing up."""
         before = self._home_by_life.get(state.life)
         if before is None or before[1].instance != home.instance:
@@ -118,17 +118,17 @@
             )
         )
 
-    def is_home(self, state: UpstreamState) -> bool:
+    def is_owner(self, state: UpstreamState) -> bool:
         """Whether this instance hands out permits of an upstream's life."""
-        return self.home(state).instance == self.instance
+        return self.owner(state).instance == self.instance
 
     def rate(self, state: UpstreamState) -> float:
         """Permits a second that this instance hands out."""
         word = state.standing.limit
         limit = 0.0 if word is None or word.limit is None else word.limit
-        return limit * self.home(state).share
+        return limit * self.owner(state).share
 
-    def limited(self, service: str, tried: Collection[int]) -> list[UpstreamState]:
+    def limited_upstreams(self, service: str, tried: Collection[int]) -> list[UpstreamState]:
         """The upstreams of a service that take requests by permit."""
         now = self.clock()
         return [
@@ -143,18 +143,18 @@
         So those that may go elsewhere use half of a limit at most, and learn when it is lifted;
         the other half waits for who has no other place.
         """
-        if not self.is_home(state) or not self.is_settled():
+        if not self.is_owner(state) or not self.is_settled():
             return False
         rate = self.rate(state)
         return rate > 0 and self.clock() >= self._pace(state).due + gap_of(rate)
 
-    def free_at(self, states: Iterable[UpstreamState]) -> float:
+    def available_at(self, states: Iterable[UpstreamState]) -> float:
         """When the first permit of some upstreams can be had here; infinite for none."""
         now = self.clock()
         moments = [self._pace(state).free_at(now) for state in self._own(states)]
         return min(moments, default=float("inf"))
 
-    def hand_out(self, states: Iterable[UpstreamState], longest: float) -> Permit | None:
+    def issue(self, states: Iterable[UpstreamState], longest: float) -> Permit | None:
         """The first permit of some upstreams, None when it would be later than in longest seconds.
 
         It is kept for who asks, so nobody else waits for the same one.
@@ -168,19 +168,19 @@
         if at - now > longest:
             return None
         self._pace(first).take(self.rate(first), at)
-        return Permit(first.life, at, at + VALID_SECONDS)
+        return Permit(first.life, at, at + PERMIT_VALID_SECONDS)
 
-    def take_spare(self, state: UpstreamState) -> bool:
+    def use_spare(self, state: UpstreamState) -> bool:
         """Spend a spare permit now."""
         if not self.has_spare(state):
             return False
         self._pace(state).take(self.rate(state), self.clock())
         return True
 
-    def note(self, life: int, spent: bool) -> None:
+    def record_use(self, life: int, spent: bool) -> None:
         """One was spent without a permit, or a permit was not spent."""
         state = self.table.by_life(life)
-        if state is None or not state.is_limited or not self.is_home(state):
+        if state is None or not state.is_limited or not self.is_owner(state):
             return
         rate = self.rate(state)
         if rate <= 0:
@@ -190,7 +190,7 @@
         else:
             self._pace(state).give_back(rate)
 
-    def shut(self) -> list[UpstreamState]:
+    def due_for_recheck(self) -> list[UpstreamState]:
         """Those that take nothing at all, and are to be asked now whether they still do: no request
         will find out.
         """
@@ -201,12 +201,12 @@
 
     def _is_unasked(self, state: UpstreamState, now: float) -> bool:
         word = state.standing.limit
-        if word is None or word.limit != 0 or state.bar(now) or not self.is_home(state):
+        if word is None or word.limit != 0 or state.bar(now) or not self.is_owner(state):
             return False
         asked_at = self._checked_at_by_life.get(state.life, word.heard_at)
         return now - max(word.heard_at, asked_at) >= SHUT_CHECK_SECONDS
 
-    def forget(self) -> None:
+    def expire(self) -> None:
         """Drop what belongs to lives that name no limit any more."""
         kept = {state.life for state in self.table.by_id.values() if state.is_limited}
         by_life: tuple[dict[int, Any], ...] = (
@@ -222,7 +222,7 @@
     def _own(self, states: Iterable[UpstreamState]) -> list[UpstreamState]:
         if not self.is_settled():
             return []
-        return [state for state in states if self.is_home(state) and self.rate(state) > 0]
+        return [state for state in states if self.is_owner(state) and self.rate(state) > 0]
 
     def _pace(self, state: UpstreamState) -> Pace:
         """The pace of a life; another limit, or a new home, begins with none saved up, and behind
@@ -234,7 +234,7 @@
         rate, now = self.rate(state), self.clock()
         pace = Pace.begin(rate, now)
         if known is not None:
-            share = self.home(state).share
+            share = self.owner(state).share
             pace.follow(known, self._limit_by_life.get(state.life, limit) * share, rate, now)
         self.pace_by_life[state.life] = pace
         self._limit_by_life[state.life] = limit
--- a/pondpin/relay/peers/permits.py
+++ b/pondpin/relay/peers/permits.py
@@ -12,13 +12,13 @@
 
 from pondpin.clocks import Clock
 from pondpin.pace import Permit
-from pondpin.relay.peers.permit_desk import VALID_SECONDS, PermitDesk
+from pondpin.relay.peers.permit_desk import PERMIT_VALID_SECONDS, PermitIssuer
 from pondpin.relay.upstreams.state import UpstreamState
 
 # The first number of a message; see LIMITS_FORMAT.
 PERMITS_FORMAT = 1004
 # A way there and back takes 4 ms between data centres; a busy instance answers some 20 ms later.
-ANSWER_SECONDS = 0.06
+ANSWER_TIMEOUT_SECONDS = 0.06
 # A request asks so many homes; each that has none says when it will, and is not asked before.
 MOST_ASKED = 4
 # A home that gives no answer is left alone for so long: it may have ended.
@@ -78,14 +78,14 @@
 class NoPermit:
     """None can be had in time; the first that is known of comes after so many seconds."""
 
-    back_in: float
+    retry_after: float
 
 
 @dataclass
-class Permits:
+class PermitBroker:
     """The permits that requests of this instance use; write sends a datagram to a host."""
 
-    desk: PermitDesk
+    issuer: PermitIssuer
     boot: int
     host: str
     write: Callable[[bytes, str], None]
@@ -96,20 +96,22 @@
         """Set up what is waited for."""
         # Answers to an earlier life at this place are none to this one's.
         self._number = self.boot
-        self._waiting: dict[int, asyncio.Future[PermitAnswer]] = {}
+        self._pending: dict[int, asyncio.Future[PermitAnswer]] = {}
         # When a home has a permit again, by its host and the service.
         self._free_at: dict[tuple[str, str], float] = {}
         self._silent_until: dict[str, float] = {}
         self.bytes_out = 0
         self.refused = 0
 
-    async def take(self, service: str, tried: Collection[int], longest: float) -> Permit | NoPermit:
+    async def acquire(
+        self, service: str, tried: Collection[int], longest: float
+    ) -> Permit | NoPermit:
         """A permit of an upstream of a service that can be spent within longest seconds.
 
         This instance's own first, then those of other homes.
         """
-        states = self.desk.limited(service, tried)
-        permit = self.desk.hand_out(states, longest)
+        states = self.issuer.limited_upstreams(service, tried)
+        permit = self.issuer.issue(states, longest)
         if permit is not None:
             return permit
         hosts = self._worth_asking(states, service, longest)
@@ -126,9 +128,9 @@
         return self._refusal(states, service)
 
     def _refusal(self, states: Sequence[UpstreamState], service: str) -> NoPermit:
-        return NoPermit(self.back_in(states, service))
+        return NoPermit(self.retry_after(states, service))
 
-    def back_in(self, states: Sequence[UpstreamState], service: str) -> float:
+    def retry_after(self, states: Sequence[UpstreamState], service: str) -> float:
         """Seconds until the first permit of some upstreams that is known of, or until a home that
         gave no answer is asked again; 0 where neither is known.
         """
@@ -137,17 +139,17 @@
             max(self._free_at.get((host, service), now), self._silent_until.get(host, now))
             for host in self._hosts_of(states)
         ]
-        back_at = min([*moments, self.desk.free_at(states)])
+        back_at = min([*moments, self.issuer.available_at(states)])
         return min(LONGEST_TOLD_SECONDS, max(0.0, back_at - now))
 
-    def give_back(self, permit: Permit) -> None:
+    def release(self, permit: Permit) -> None:
         """A permit was not spent."""
         self._note(permit.life, permit.host, spent=False)
 
-    def note_spent(self, state: UpstreamState) -> None:
+    def record_spent(self, state: UpstreamState) -> None:
         """Something went to a limited upstream without a permit: it counts all the same."""
         if state.is_limited:
-            self._note(state.life, self.desk.home(state).host, spent=True)
+            self._note(state.life, self.issuer.owner(state).host, spent=True)
 
     def receive(self, data: bytes, now: float) -> bool:
         """Take a datagram; False when it is none of these."""
@@ -165,12 +167,12 @@
 
     def close(self) -> None:
         """Nobody waits any more."""
-        for answer in self._waiting.values():
+        for answer in self._pending.values():
             answer.cancel()
 
     def _hosts_of(self, states: Sequence[UpstreamState]) -> list[str]:
         """The other instances that are homes of some upstreams."""
-        return sorted({self.desk.home(state).host for state in states} - {"", self.host})
+        return sorted({self.issuer.owner(state).host for state in states} - {"", self.host})
 
     def _worth_asking(
         self, states: Sequence[UpstreamState], service: str, longest: float
@@ -193,23 +195,23 @@
         self._number += 1
         number = self._number
         answer: asyncio.Future[PermitAnswer] = asyncio.get_running_loop().create_future()
-        self._waiting[number] = answer
+        self._pending[number] = answer
         wait = int(longest * MILLISECONDS)
         ask = PermitAsk(self.host, number, service, tuple(tried), wait)
         self._send(PermitMessage(PERMITS_FORMAT, ask=ask), host)
         try:
-            async with asyncio.timeout(ANSWER_SECONDS):
+            async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS):
                 told = await answer
         except TimeoutError:
             self._silent_until[host] = self.clock() + SILENT_SECONDS
             return ""
         finally:
             # An answer that comes later gives its permit back.
-            self._waiting.pop(number, None)
+            self._pending.pop(number, None)
         now = self.clock()
         at = now + told.wait / MILLISECONDS
         if told.life:
-            return Permit(told.life, at, at + VALID_SECONDS, host)
+            return Permit(told.life, at, at + PERMIT_VALID_SECONDS, host)
         if told.wait:
             self._free_at[host, service] = at
         else:
@@ -217,8 +219,8 @@
         return told.host
 
     def _answer(self, ask: PermitAsk) -> None:
-        states = self.desk.limited(ask.service, ask.tried)
-        permit = self.desk.hand_out(states, ask.longest / MILLISECONDS)
+        states = self.issuer.limited_upstreams(ask.service, ask.tried)
+        permit = self.issuer.issue(states, ask.longest / MILLISECONDS)
         if permit is None:
             answer = self._no(ask, states)
         else:
@@ -227,7 +229,7 @@
         self._send(PermitMessage(PERMITS_FORMAT, answer=answer), ask.host)
 
     def _no(self, ask: PermitAsk, states: Sequence[UpstreamState]) -> PermitAnswer:
-        free_at = self.desk.free_at(states)
+        free_at = self.issuer.available_at(states)
         if free_at < float("inf"):
             wait = min(LONGEST_TOLD_SECONDS, free_at - self.clock())
             # 0 would say that this is no home.
@@ -237,20 +239,20 @@
         return PermitAnswer(ask.number, 0, 0, others[0] if others else "")
 
     def _heard(self, told: PermitAnswer) -> None:
-        waiting = self._waiting.get(told.number)
+        waiting = self._pending.get(told.number)
         if waiting is not None and not waiting.done():
             waiting.set_result(told)
         elif told.life:
-            state = self.desk.table.by_life(told.life)
+            state = self.issuer.table.by_life(told.life)
             if state is not None:
-                self._note(told.life, self.desk.home(state).host, spent=False)
+                self._note(told.life, self.issuer.owner(state).host, spent=False)
 
     def _noted(self, note: PermitNote) -> None:
-        self.desk.note(note.life, note.spent)
+        self.issuer.record_use(note.life, note.spent)
 
     def _note(self, life: int, host: str, spent: bool) -> None:
         if host in ("", self.host):
-            self.desk.note(life, spent)
+            self.issuer.record_use(life, spent)
         else:
             self._send(PermitMessage(PERMITS_FORMAT, note=PermitNote(life, spent)), host)
 
--- a/pondpin/relay/peers/published_news.py
+++ b/pondpin/relay/peers/published_news.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 from pondpin.relay.log_events import Behind
-from pondpin.relay.peers.digests import MILLISECONDS, Digest, asked_at, told_version
+from pondpin.relay.peers.digests import MILLISECONDS, Digest, digest_version, echo_sent_at
 from pondpin.relay.published.documents import ListOffer
 from pondpin.relay.published.freshness import PublishedVersion, peer_proof
 
@@ -13,7 +13,7 @@
     from pondpin.relay.published.document_fetch import DocumentFetcher
 
 
-class PublishedNews:
+class PublishedSync:
     """Takes proofs and epochs from digests, and has newer documents fetched."""
 
     def __init__(self, gossip: "Gossip") -> None:
@@ -29,8 +29,8 @@
             host=gossip.address.host,
             document_port=gossip.address.document_port,
             publication=gossip.publication,
-            peers=gossip.peers,
-            on_news=gossip.tell_soon,
+            peers=gossip.piece_port,
+            on_news=gossip.send_soon,
             log=gossip.log,
             clock=gossip.clock,
             rng=gossip.rng,
@@ -45,13 +45,13 @@
         """Take the proofs of a digest, and have fetched what its sender has newer."""
         publication = self._gossip.publication
         publication.receive_epoch(digest.epoch, f"peer {digest.instance}")
-        told = told_version(digest, publication.in_force)
+        told = digest_version(digest, publication.in_force)
         if told is not None:
             self._receive_version(digest, told, now)
         # What was read in an epoch that is over proves nothing.
         if digest.epoch < publication.epoch and publication.list_at is not None:
             return
-        asked = asked_at(digest, self._gossip.boot)
+        asked = echo_sent_at(digest, self._gossip.boot)
         if asked is None:
             return
         if told is not None and digest.proof_age >= 0:
@@ -85,6 +85,7 @@
 
     def _offer(self, digest: Digest, offer: PublishedVersion | ListOffer, now: float) -> None:
         is_far = (
-            self._gossip.known.is_large and digest.data_center != self._gossip.table.data_center
+            self._gossip.peer_table.is_large
+            and digest.data_center != self._gossip.table.data_center
         )
         self._fetcher.receive_offer(digest.host, offer, is_far, now)
--- a/pondpin/relay/peers/quarantine_news.py
+++ b/pondpin/relay/peers/quarantine_news.py
@@ -14,7 +14,7 @@
 from pondpin.quarantine import NamedEnd, Quarantine
 from pondpin.quarantine_messages import EndTold, heard_end, tell_end
 from pondpin.relay.peers.digests import Digest
-from pondpin.relay.peers.news import ToldLast
+from pondpin.relay.peers.news import LastMessage
 
 # The first number of a message; digests and long reads have theirs there.
 QUARANTINE_FORMAT = 1002
@@ -25,7 +25,7 @@
 SYNC_SECONDS = 0.4
 
 
-class QuarantineTold(msgspec.Struct, frozen=True, array_like=True):
+class QuarantineMessage(msgspec.Struct, frozen=True, array_like=True):
     """Ends, and the suspects that the sender runs now, each with the life that it runs on.
 
     sequence rises within a boot.
@@ -39,11 +39,11 @@
     running: tuple[tuple[int, int], ...]
 
 
-_DECODER = msgspec.msgpack.Decoder(QuarantineTold)
+_DECODER = msgspec.msgpack.Decoder(QuarantineMessage)
 _ENCODER = msgspec.msgpack.Encoder()
 
 
-def decode_quarantine(data: bytes) -> QuarantineTold | None:
+def decode_quarantine(data: bytes) -> QuarantineMessage | None:
     """A message from a datagram; None for anything else."""
     try:
         found = _DECODER.decode(data)
@@ -53,7 +53,7 @@
 
 
 @dataclass
-class QuarantineNews:
+class QuarantineSync:
     """Tells what this instance saw, and takes what others tell.
 
     write sends a datagram to a host; on_heard is called when a peer's word was taken.
@@ -65,38 +65,38 @@
     write: Callable[[bytes, str], None]
     hosts: Callable[[], Collection[str]]
     clock: Clock
-    on_heard: Callable[[str, Sequence[NamedEnd]], None] = lambda source, ends: None
-    running: dict[int, int] = field(default_factory=dict)
+    on_received: Callable[[str, Sequence[NamedEnd]], None] = lambda source, ends: None
+    running_by_identity: dict[int, int] = field(default_factory=dict)
     sequence: int = 0
     bytes_out: int = 0
     # Whether any peer has told what it believes, or that it believes the same.
-    is_told: bool = False
+    is_synced: bool = False
 
     def __post_init__(self) -> None:
         """Set up what was told last."""
-        self._last_by_peer: dict[str, ToldLast] = {}
+        self._last_by_peer: dict[str, LastMessage] = {}
         # When a peer's life, named by host and boot, was sent all that matters.
         self._synced_at_by_life: dict[tuple[str, int], float] = {}
 
-    def tell(self, ends: Sequence[NamedEnd] = ()) -> None:
+    def broadcast(self, ends: Sequence[NamedEnd] = ()) -> None:
         """Tell every instance of ends, and which suspects run here."""
-        for data in self._messages(ends):
+        for data in self._encode_messages(ends):
             for host in self.hosts():
                 self._send(data, host)
 
-    def _messages(self, ends: Sequence[NamedEnd]) -> Iterable[bytes]:
+    def _encode_messages(self, ends: Sequence[NamedEnd]) -> Iterable[bytes]:
         now = self.clock()
         for start in range(0, max(1, len(ends)), ENDS_IN_MESSAGE):
             self.sequence += 1
             part = ends[start : start + ENDS_IN_MESSAGE]
             yield _ENCODER.encode(
-                QuarantineTold(
+                QuarantineMessage(
                     QUARANTINE_FORMAT,
                     self.instance,
                     self.boot,
                     self.sequence,
                     tuple(tell_end(item, now) for item in part),
-                    tuple(self.running.items()),
+                    tuple(self.running_by_identity.items()),
                 )
             )
 
@@ -113,20 +113,20 @@
             self._take(told, now)
         return True
 
-    def _take(self, told: QuarantineTold, now: float) -> None:
-        self.is_told = True
+    def _take(self, told: QuarantineMessage, now: float) -> None:
+        self.is_synced = True
         ends = [heard_end(item, told.instance, now) for item in told.ends]
         better = self.quarantine.take(ends, now)
         last = self._last_by_peer.get(told.instance)
-        if last is None or told.sequence > last.after(told.boot):
-            self._last_by_peer[told.instance] = ToldLast(told.boot, told.sequence)
+        if last is None or told.sequence > last.last_sequence(told.boot):
+            self._last_by_peer[told.instance] = LastMessage(told.boot, told.sequence)
             self._take_running(told, now)
         if ends:
-            self.on_heard(told.instance, ends)
+            self.on_received(told.instance, ends)
         if better:
-            self.tell(better)
+            self.broadcast(better)
 
-    def _take_running(self, told: QuarantineTold, now: float) -> None:
+    def _take_running(self, told: QuarantineMessage, now: float) -> None:
         running = dict(told.running)
         for identity, runs in list(self.quarantine.runs_by_identity.items()):
             if told.instance in runs and identity not in running:
@@ -134,10 +134,10 @@
         for identity, life in told.running:
             self.quarantine.begin_run(identity, told.instance, life, now)
 
-    def compare(self, digest: Digest, now: float) -> None:
+    def sync_peer(self, digest: Digest, now: float) -> None:
         """A peer's digest came: send it what it seems to lack, at once if it has just started."""
         if digest.quarantine_tag == self.quarantine.tag:
-            self.is_told = True
+            self.is_synced = True
             return
         if not self.quarantine.tag:
             return
@@ -145,10 +145,10 @@
         if now - self._synced_at_by_life.get(life, float("-inf")) < SYNC_SECONDS:
             return
         self._synced_at_by_life[life] = now
-        for data in self._messages(self.quarantine.most_telling(ENDS_TO_SYNC)):
+        for data in self._encode_messages(self.quarantine.most_telling(ENDS_TO_SYNC)):
             self._send(data, digest.host)
 
-    def forget(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Drop what is no reason to wait any more."""
         self._synced_at_by_life = {
             life: at for life, at in self._synced_at_by_life.items() if now - at < SYNC_SECONDS
--- a/pondpin/tests/test_quarantine.py
+++ b/pondpin/tests/test_quarantine.py
@@ -32,7 +32,7 @@
     quarantine_seconds,
     turn_of,
 )
-from pondpin.relay.peers.quarantine_news import QuarantineNews
+from pondpin.relay.peers.quarantine_news import QuarantineSync
 
 NOW = 1000.0
 DEADLY = 1
@@ -283,7 +283,7 @@
 
     name: str
     quarantine: Quarantine
-    news: QuarantineNews
+    news: QuarantineSync
 
 
 @dataclass(eq=False)
@@ -325,7 +325,7 @@
 
     def start(self, name: str) -> Member:
         quarantine = Quarantine()
-        news = QuarantineNews(
+        news = QuarantineSync(
             name,
             self.rng.getrandbits(40),
             quarantine,
@@ -344,7 +344,7 @@
                 self.sync(member, name)
 
     def sync(self, member: Member, host: str) -> None:
-        for data in member.news._messages(member.quarantine.most_telling(100)):
+        for data in member.news._encode_messages(member.quarantine.most_telling(100)):
             self.carry(member.name, data, host)
 
     def join_sides(self) -> None:
@@ -393,8 +393,8 @@
             worker = min(living, key=lambda item: len(self.open_by_worker[item]))
             place = self.life_by_worker[worker] or 0
             member.quarantine.begin_run(identity, member.name, place, self.now)
-            member.news.running[identity] = place
-            member.news.tell()
+            member.news.running_by_identity[identity] = place
+            member.news.broadcast()
         attempt = Attempt(member, identity, worker, self.now, tries)
         self.open_by_worker[worker].append(attempt)
         is_deadly = identity in self.deadly
@@ -413,14 +413,14 @@
         self.served[attempt.identity] = self.served.get(attempt.identity, 0) + 1
         cleared = attempt.member.quarantine.note_good(attempt.identity, self.now)
         if cleared:
-            attempt.member.news.tell(cleared)
+            attempt.member.news.broadcast(cleared)
 
     def close(self, attempt: Attempt) -> None:
         attempt.open = False
         attempt.member.quarantine.end_run(attempt.identity, attempt.member.name)
-        if attempt.identity in attempt.member.news.running:
-            del attempt.member.news.running[attempt.identity]
-            attempt.member.news.tell()
+        if attempt.identity in attempt.member.news.running_by_identity:
+            del attempt.member.news.running_by_identity[attempt.identity]
+            attempt.member.news.broadcast()
 
     def crash(self, worker: int, cause: int = 0) -> None:
         """A worker's life ends; it is back after a while."""
@@ -444,7 +444,7 @@
             unlikely = attempt.identity not in self.deadly and at - attempt.began > 0.35
             end = LifeEnd(life, at, unlikely=unlikely)
             if attempt.member.quarantine.note_end(attempt.identity, end):
-                attempt.member.news.tell([NamedEnd(attempt.identity, end)])
+                attempt.member.news.broadcast([NamedEnd(attempt.identity, end)])
         for attempt in broken:
             self.close(attempt)
             judgement = attempt.member.quarantine.judge(
--- a/pondpin/tests/test_relay_gossip.py
+++ b/pondpin/tests/test_relay_gossip.py
@@ -10,22 +10,22 @@
 from pondpin.relay.peers.digests import (
     ALIVE_SECONDS,
     DIGEST_FORMAT,
-    FORGET_SECONDS,
-    LARGE_SILENT_SECONDS,
-    SILENCE_COUNTS_SECONDS,
+    LARGE_FLEET_SILENT_SECONDS,
+    PEER_EXPIRY_SECONDS,
+    SILENCE_EXPIRY_SECONDS,
     SILENT_SECONDS,
-    SMALL_FLEET,
+    SMALL_FLEET_PEERS,
     Digest,
     PeerTable,
-    asked_at,
     decode_digest,
+    echo_sent_at,
     encode_digest,
 )
 from pondpin.relay.peers.fan_out import (
-    FAR_SECONDS,
-    FEWEST_TOLD,
+    FAR_INTERVAL_SECONDS,
     HEARTBEAT_FAN_OUT,
     HEARTBEAT_SECONDS,
+    MIN_FAN_OUT,
     NEAR_BYTES_PER_SECOND,
     FanOut,
 )
@@ -34,7 +34,7 @@
 NOW = 1000.0
 
 
-def digest(instance: str, boot: int, sequence: int, **changes: object) -> Digest:
+def make_digest(instance: str, boot: int, sequence: int, **changes: object) -> Digest:
     values: dict[str, object] = {
         "format": DIGEST_FORMAT,
         "instance": instance,
@@ -76,9 +76,9 @@
         for number, (boot, life, quiet, wait) in enumerate(heard):
             now += wait
             center = f"c{boot % 3}"
-            told = digest(f"i{boot}-{life}", boot, number, quiet=quiet, data_center=center)
-            changes = table.changes
-            table.take(told, now)
+            told = make_digest(f"i{boot}-{life}", boot, number, quiet=quiet, data_center=center)
+            changes = table.change_count
+            table.apply(told, now)
             peers = list(table.by_host.values())
             found = table.alive(now)
             self.assertEqual(
@@ -87,18 +87,18 @@
             self.assertTrue(all(table.by_host[peer.host] is peer for peer in found))
             alive = {peer.instance for peer in found}
             if alive != alive_before:
-                self.assertGreater(table.changes, changes)
+                self.assertGreater(table.change_count, changes)
             alive_before = alive
-            limit = LARGE_SILENT_SECONDS if table.is_large else SILENT_SECONDS
+            limit = LARGE_FLEET_SILENT_SECONDS if table.is_large else SILENT_SECONDS
             silent = {
                 peer.data_center
                 for peer in peers
                 if limit
-                < now - max(p.heard_at for p in peers if p.data_center == peer.data_center)
-                < SILENCE_COUNTS_SECONDS
+                < now - max(p.last_seen_at for p in peers if p.data_center == peer.data_center)
+                < SILENCE_EXPIRY_SECONDS
             }
-            self.assertEqual(table.silent_centers(now), silent)
-        table.forget(now + FORGET_SECONDS + 1)
+            self.assertEqual(table.silent_data_centers(now), silent)
+        table.expire(now + PEER_EXPIRY_SECONDS + 1)
         self.assertEqual(table.by_host, {})
 
 
@@ -108,47 +108,47 @@
 
     def test_what_is_no_digest_is_dropped(self) -> None:
         self.assertIsNone(decode_digest(b"\xff\x00junk"))
-        whole = digest("a", 1, 1)
+        whole = make_digest("a", 1, 1)
         self.assertEqual(decode_digest(encode_digest(whole)), whole)
 
     def test_an_overtaken_digest_is_dropped(self) -> None:
-        self.assertTrue(self.table.take(digest("a", 1, 5), NOW))
-        self.assertFalse(self.table.take(digest("a", 1, 4), NOW))
-        self.assertFalse(self.table.take(digest("me", 9, 1), NOW))
+        self.assertTrue(self.table.apply(make_digest("a", 1, 5), NOW))
+        self.assertFalse(self.table.apply(make_digest("a", 1, 4), NOW))
+        self.assertFalse(self.table.apply(make_digest("me", 9, 1), NOW))
 
     def test_a_new_life_starts_its_sequence_anew(self) -> None:
-        self.table.take(digest("a", 1, 5), NOW)
-        self.assertTrue(self.table.take(digest("a", 2, 1, host="10.0.0.1"), NOW))
+        self.table.apply(make_digest("a", 1, 5), NOW)
+        self.assertTrue(self.table.apply(make_digest("a", 2, 1, host="10.0.0.1"), NOW))
 
     def test_an_echo_of_another_life_dates_nothing(self) -> None:
-        self.assertIsNone(asked_at(digest("a", 1, 1, echo=500, echo_boot=8), 9))
-        self.assertIsNone(asked_at(digest("a", 1, 1), 9))
-        self.assertEqual(asked_at(digest("a", 1, 1, echo=500, echo_boot=9), 9), 0.5)
+        self.assertIsNone(echo_sent_at(make_digest("a", 1, 1, echo=500, echo_boot=8), 9))
+        self.assertIsNone(echo_sent_at(make_digest("a", 1, 1), 9))
+        self.assertEqual(echo_sent_at(make_digest("a", 1, 1, echo=500, echo_boot=9), 9), 0.5)
 
     def test_rank_counts_live_peers_that_can_read(self) -> None:
-        self.table.take(digest("a", 1, 1), NOW)
-        self.table.take(digest("b", 2, 1, reads_source=False), NOW)
-        self.table.take(digest("z", 3, 1), NOW)
+        self.table.apply(make_digest("a", 1, 1), NOW)
+        self.table.apply(make_digest("b", 2, 1, reads_source=False), NOW)
+        self.table.apply(make_digest("z", 3, 1), NOW)
         self.assertEqual(self.table.rank("m", "north", NOW), 1)
         self.assertEqual(self.table.rank("m", "north", NOW + ALIVE_SECONDS), 0)
 
     def test_in_a_large_fleet_neighbours_are_ranked_after_other_centres(self) -> None:
-        for number in range(10, SMALL_FLEET + 12):
+        for number in range(10, SMALL_FLEET_PEERS + 12):
             center = "north" if number < 13 else "south"
-            self.table.take(digest(f"i{number:02}", number, 1, data_center=center), NOW)
+            self.table.apply(make_digest(f"i{number:02}", number, 1, data_center=center), NOW)
         self.assertEqual(self.table.rank("i11", "north", NOW), 1)
         self.assertEqual(self.table.rank("i00", "south", NOW), 1)
 
     def test_a_peer_may_be_silent_for_as_long_as_it_said(self) -> None:
-        self.table.take(digest("a", 1, 1, quiet=2000), NOW)
+        self.table.apply(make_digest("a", 1, 1, quiet=2000), NOW)
         self.assertEqual(len(self.table.alive(NOW + 5.9)), 1)
         self.assertEqual(self.table.alive(NOW + 6.1), [])
 
     def test_a_data_center_is_silent_when_all_its_peers_are(self) -> None:
-        self.table.take(digest("a", 1, 1), NOW)
-        self.table.take(digest("b", 2, 1), NOW + 0.6)
-        self.assertEqual(self.table.silent_centers(NOW + 0.7), frozenset())
-        silent = self.table.silent_centers(NOW + 0.7 + SILENT_SECONDS)
+        self.table.apply(make_digest("a", 1, 1), NOW)
+        self.table.apply(make_digest("b", 2, 1), NOW + 0.6)
+        self.assertEqual(self.table.silent_data_centers(NOW + 0.7), frozenset())
+        silent = self.table.silent_data_centers(NOW + 0.7 + SILENT_SECONDS)
         self.assertEqual(silent, frozenset(("north",)))
 
 
@@ -160,8 +160,8 @@
     def fill(self, near: int, far: int, now: float) -> None:
         for number in range(1, near + far + 1):
             center = "north" if number <= near else f"south{number % 2}"
-            peer = digest(f"i{number}", number, int(now * 10), data_center=center, quiet=5000)
-            self.table.take(peer, now)
+            peer = make_digest(f"i{number}", number, int(now * 10), data_center=center, quiet=5000)
+            self.table.apply(peer, now)
 
     def test_a_small_fleet_tells_everybody(self) -> None:
         self.fill(4, 5, NOW)
@@ -183,7 +183,7 @@
         later = NOW + HEARTBEAT_SECONDS
         turn = self.fan_out.next_round(self.table, later, changed=False, urgent=False)
         self.assertEqual(len(turn.near), HEARTBEAT_FAN_OUT)
-        self.assertGreater(later, NOW + FAR_SECONDS)
+        self.assertGreater(later, NOW + FAR_INTERVAL_SECONDS)
         self.assertEqual(len(turn.far), 2)
 
     def test_news_for_other_centres_does_not_wait(self) -> None:
@@ -198,11 +198,11 @@
         for step in range(100):
             now = NOW + step * 0.05
             turn = self.fan_out.next_round(self.table, now, changed=True, urgent=False)
-            self.assertGreaterEqual(len(turn.near), FEWEST_TOLD)
+            self.assertGreaterEqual(len(turn.near), MIN_FAN_OUT)
             for _ in turn.near:
-                self.fan_out.note_bytes(372)
+                self.fan_out.record_bytes(372)
                 sent += 400
-        self.assertLess(sent, NEAR_BYTES_PER_SECOND * 6 + 100 * FEWEST_TOLD * 400)
+        self.assertLess(sent, NEAR_BYTES_PER_SECOND * 6 + 100 * MIN_FAN_OUT * 400)
 
 
 class FleetTest(unittest.TestCase):
@@ -237,7 +237,7 @@
     def test_instances_that_all_start_hear_one_another_within_a_second(self) -> None:
         fleet = GossipFleet(centers=3, instances=9, seed=4)
         fleet.play(0.7)
-        alive = [len(item.known.alive(fleet.now)) for item in fleet.members]
+        alive = [len(item.peer_table.alive(fleet.now)) for item in fleet.members]
         self.assertEqual(alive, [8] * 9)
 
     def test_a_centre_that_is_cut_off_is_noticed_and_heard_again(self) -> None:
@@ -247,11 +247,11 @@
         fleet.play(3.0)
         outside = [item for item in fleet.members if item.table.data_center != "c2"]
         for member in outside:
-            self.assertEqual(member.known.silent_centers(fleet.now), {"c2"})
+            self.assertEqual(member.peer_table.silent_data_centers(fleet.now), {"c2"})
         fleet.cut = set()
         fleet.play(3.0)
         for member in outside:
-            self.assertEqual(member.known.silent_centers(fleet.now), frozenset())
+            self.assertEqual(member.peer_table.silent_data_centers(fleet.now), frozenset())
 
 
 if __name__ == "__main__":
--- a/pondpin/tests/test_relay_limit_fleet.py
+++ b/pondpin/tests/test_relay_limit_fleet.py
@@ -17,8 +17,8 @@
 from pondpin.pace import Pace, Permit
 from pondpin.relay.model import ListedUpstream
 from pondpin.relay.peers.gossip import Gossip
-from pondpin.relay.peers.permit_desk import Members, home_of
-from pondpin.relay.peers.permits import ANSWER_SECONDS, NoPermit, Permits
+from pondpin.relay.peers.permit_desk import Membership, owner_of
+from pondpin.relay.peers.permits import ANSWER_TIMEOUT_SECONDS, NoPermit, PermitBroker
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.standins.limits_kept import AIM, most_over
 from pondpin.standins.wishes import Wishes
@@ -68,10 +68,10 @@
     def ask(self, member: Gossip) -> None:
         """A request arrives at an instance: it goes by a permit, or where no limit is known."""
         free = [item for item in self.upstreams if not self.state(member, item).is_limited]
-        desk = member.limits.desk
+        desk = member.limits.issuer
         for upstream in self.upstreams if free else ():
             state = self.state(member, upstream)
-            if state.is_limited and desk.take_spare(state):
+            if state.is_limited and desk.use_spare(state):
                 self.send(member, upstream, self.now)
                 return
         if free:
@@ -94,7 +94,7 @@
             return
         word = LimitWord(upstream.limit, self.now, self.now, "its answer")
         if hear_limit(standings, upstream.listed.life, word, self.now):
-            member.limits.news.tell(upstream.listed.life, self.now)
+            member.limits.sync.broadcast(upstream.listed.life, self.now)
 
     def load(self, seconds: float, rate: float, members: list[Gossip]) -> None:
         """Requests for a while, at instances by chance."""
@@ -111,11 +111,11 @@
         return max(most_over(item.wishes, AIM) for item in self.upstreams)
 
 
-def drive(fleet: Fleet, permits: Permits) -> Permit | None:
+def drive(fleet: Fleet, permits: PermitBroker) -> Permit | None:
     """Let a wish for a permit be answered: the fleet's time goes on while it waits."""
 
     async def take() -> Permit | NoPermit:
-        taking = asyncio.ensure_future(permits.take(SERVICE, frozenset(), WAIT_SECONDS))
+        taking = asyncio.ensure_future(permits.acquire(SERVICE, frozenset(), WAIT_SECONDS))
         waited = 0.0
         while not taking.done():
             await asyncio.sleep(0)
@@ -123,9 +123,9 @@
             if not taking.done():
                 fleet.gossip.play(DELAY_SECONDS)
                 waited += DELAY_SECONDS
-                if waited > ANSWER_SECONDS:
+                if waited > ANSWER_TIMEOUT_SECONDS:
                     # Nobody answers: the loop's own time-out is not the fleet's.
-                    for answer in list(permits._waiting.values()):
+                    for answer in list(permits._pending.values()):
                         answer.set_exception(TimeoutError())
         return taking.result()
 
@@ -259,32 +259,32 @@
         fleet.load(4.0, 6.0, fleet.gossip.members)
         member = fleet.gossip.members[0]
         permits = member.limits.permits
-        states = permits.desk.limited(SERVICE, ())
+        states = permits.issuer.limited_upstreams(SERVICE, ())
         # Each of the others is silent.
         with mock.patch.object(permits, "write"):
             self.assertIsNone(fleet.permit(member))
-        others = [state for state in states if not permits.desk.is_home(state)]
+        others = [state for state in states if not permits.issuer.is_owner(state)]
         self.assertTrue(others)
-        self.assertGreater(permits.back_in(others, SERVICE), 0.2)
+        self.assertGreater(permits.retry_after(others, SERVICE), 0.2)
 
 
 class HomeTest(unittest.TestCase):
     def test_few_lives_move_when_an_instance_comes(self) -> None:
         names = {f"i{n}": f"10.0.0.{n}" for n in range(8)}
-        before = Members(names, 8, 8)
-        after = Members(names | {"i8": "10.0.0.8"}, 9, 9)
+        before = Membership(names, 8, 8)
+        after = Membership(names | {"i8": "10.0.0.8"}, 9, 9)
         moved = [
             life
             for life in range(500)
-            if home_of(life, before).instance != home_of(life, after).instance
+            if owner_of(life, before).instance != owner_of(life, after).instance
         ]
-        self.assertTrue(all(home_of(life, after).instance == "i8" for life in moved))
+        self.assertTrue(all(owner_of(life, after).instance == "i8" for life in moved))
         self.assertLess(len(moved), 500 / 9 * 1.5)
 
     def test_silent_ones_keep_their_part(self) -> None:
-        home = home_of(7, Members({"a": "1", "b": "2"}, live=2, known=3))
+        home = owner_of(7, Membership({"a": "1", "b": "2"}, live_count=2, known_count=3))
         self.assertAlmostEqual(home.share, 2 / 3)
-        self.assertEqual(home_of(7, Members({}, 0, 2)).host, "")
+        self.assertEqual(owner_of(7, Membership({}, 0, 2)).host, "")
 
     def test_one_that_stops_is_no_home(self) -> None:
         fleet = Fleet(8, seed=6)
@@ -292,12 +292,12 @@
             upstream.limit = 1.0
         fleet.load(3.0, 12.0, fleet.gossip.members)
         state = fleet.state(fleet.gossip.members[0], fleet.upstreams[0])
-        home = fleet.gossip.members[0].limits.desk.home(state).instance
+        home = fleet.gossip.members[0].limits.issuer.owner(state).instance
         stopping = next(item for item in fleet.gossip.members if item.instance == home)
         stopping.is_stopping = True
         fleet.gossip.play(1.0)
         for member in fleet.gossip.members:
-            found = member.limits.desk.home(fleet.state(member, fleet.upstreams[0]))
+            found = member.limits.issuer.owner(fleet.state(member, fleet.upstreams[0]))
             self.assertNotEqual(found.instance, home)
             # It is heard and sends on: nobody's part grows or falls by it.
             self.assertEqual(found.share, 1.0)
--- a/pondpin/tests/test_relay_long_reads.py
+++ b/pondpin/tests/test_relay_long_reads.py
@@ -108,8 +108,8 @@
             lambda: self.fleet.now,
             random.Random(seed),
             lambda: member.send(self.fleet.now),
-            peer_count=member.count_tellers,
-            broadcast_long_prefills=(lambda: None) if silent else member.tell_long_reads,
+            peer_count=member.count_reporting_peers,
+            broadcast_long_prefills=(lambda: None) if silent else member.broadcast_long_prefills,
         )
 
     def play(self, light_per_second: float, long_per_second: float, long_tokens: int) -> None:
--- a/pondpin/tests/test_relay_notice_fleet.py
+++ b/pondpin/tests/test_relay_notice_fleet.py
@@ -15,7 +15,7 @@
 from pondpin.notices import Notice
 from pondpin.relay.log import EventLog
 from pondpin.relay.model import AnswerHead, ListedUpstream
-from pondpin.relay.peers.description import LEAVING_TOLD
+from pondpin.relay.peers.description import MAX_DIGEST_LEAVING
 from pondpin.relay.upstreams.hearing import REQUEST, Asked, Hearing
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.standins.wishes import Wishes
@@ -132,7 +132,7 @@
     def tell(self) -> None:
         now = self.clock()
         told = [
-            instance.table.leaving_by_turns(LEAVING_TOLD, now)
+            instance.table.leaving_by_turns(MAX_DIGEST_LEAVING, now)
             for instance in self.instances
             if not instance.cut
         ]
--- a/pondpin/tests/test_relay_quarantine.py
+++ b/pondpin/tests/test_relay_quarantine.py
@@ -399,10 +399,10 @@
             ):
                 task = asyncio.ensure_future(ask(platform, "stream", body=DEADLY))
                 await looking.wait()
-                self.assertTrue(first.guard.quarantine_sync.running)
+                self.assertTrue(first.guard.quarantine_sync.running_by_identity)
                 task.cancel()
                 await platform.until(lambda: not first.handler.open_requests)
-            self.assertEqual(first.guard.quarantine_sync.running, {})
+            self.assertEqual(first.guard.quarantine_sync.running_by_identity, {})
             looked.set()
             await platform.until(lambda: not first.guard.tracker.looks._looks_by_life)
 
--- a/pondpin/tests/test_relay_serving.py
+++ b/pondpin/tests/test_relay_serving.py
@@ -191,7 +191,9 @@
             await platform.until(lambda: first.handler.instance_count() == 3)
             await platform.entries[2].stop()
             del platform.entries[2]
-            await platform.until(lambda: len(first.gossip.known.alive(first.handler.clock())) == 1)
+            await platform.until(
+                lambda: len(first.gossip.peer_table.alive(first.handler.clock())) == 1
+            )
             self.assertEqual(first.handler.instance_count(), 3)
 
         self.play(work)
--- a/pondpin/tests/test_relay_words.py
+++ b/pondpin/tests/test_relay_words.py
@@ -208,7 +208,7 @@
         return state
 
     def limited(self, entry: RelayEntry) -> list[str]:
-        return [state.id for state in entry.gossip.limits.desk.limited("plain", ())]
+        return [state.id for state in entry.gossip.limits.issuer.limited_upstreams("plain", ())]
 
     def test_who_leaves_or_rests_hands_out_nothing(self) -> None:
         async def work(platform: LocalPlatform) -> None:
--- a/pondpin/tests/test_release_mix.py
+++ b/pondpin/tests/test_release_mix.py
@@ -9,10 +9,10 @@
     DIGEST_FORMAT,
     EjectedDigest,
     decode_digest,
+    digest_version,
     encode_digest,
-    told_version,
 )
-from pondpin.relay.peers.published_news import PublishedNews
+from pondpin.relay.peers.published_news import PublishedSync
 from pondpin.relay.published.document_server import DocumentServer
 from pondpin.relay.published.documents import (
     DocumentKind,
@@ -28,7 +28,7 @@
     encode_message,
 )
 from pondpin.relay.published.publication import Publication
-from pondpin.tests.test_relay_gossip import digest
+from pondpin.tests.test_relay_gossip import make_digest
 from pondpin.tests.test_relay_publication import (
     Recorder,
     configuration_item,
@@ -105,12 +105,12 @@
 
 class WireTest(unittest.TestCase):
     def test_earlier_release_reads_a_later_digest(self) -> None:
-        told = digest("a", 1, 3, epoch=2, version=10, version_epoch=1, revision=62)
+        told = make_digest("a", 1, 3, epoch=2, version=10, version_epoch=1, revision=62)
         found = msgspec.msgpack.decode(encode_digest(told), type=EarlierDigest)
         self.assertEqual((found.format, found.revision), (DIGEST_FORMAT, 62))
 
     def test_later_release_reads_an_earlier_digest(self) -> None:
-        fields = msgspec.to_builtins(digest("a", 1, 3, revision=62))
+        fields = msgspec.to_builtins(make_digest("a", 1, 3, revision=62))
         found = decode_digest(
             msgspec.msgpack.encode(fields[: len(EarlierDigest.__struct_fields__)])
         )
@@ -118,7 +118,7 @@
         self.assertEqual((found.epoch, found.version, found.revision), (0, None, 62))
 
     def test_bytes_that_epochs_add_to_a_digest_are_few(self) -> None:
-        whole = digest("a", 1, 3, epoch=3, version=1000, version_epoch=3)
+        whole = make_digest("a", 1, 3, epoch=3, version=1000, version_epoch=3)
         before = len(msgspec.msgpack.encode(msgspec.to_builtins(whole)[:-3]))
         self.assertLessEqual(len(encode_digest(whole)) - before, 5)
 
@@ -127,21 +127,21 @@
     def test_earlier_release_is_compared_while_the_source_names_no_epoch(self) -> None:
         in_force = PublishedVersion(10, 0, 62, 7)
         for revision, newer in ((61, False), (62, False), (63, True)):
-            told = told_version(digest("a", 1, 1, revision=revision), in_force)
+            told = digest_version(make_digest("a", 1, 1, revision=revision), in_force)
             assert told is not None
             self.assertEqual(told.is_newer_than(in_force), newer)
 
     def test_earlier_release_tells_nothing_newer_once_there_are_epochs(self) -> None:
         in_force = PublishedVersion(10, 2, 34, 7)
-        told = told_version(digest("a", 1, 1, revision=62), in_force)
+        told = digest_version(make_digest("a", 1, 1, revision=62), in_force)
         assert told is not None
         self.assertFalse(told.is_newer_than(in_force))
 
     def test_earlier_release_helps_an_instance_that_has_nothing(self) -> None:
-        told = told_version(digest("a", 1, 1, revision=62), NOTHING_PUBLISHED)
+        told = digest_version(make_digest("a", 1, 1, revision=62), NOTHING_PUBLISHED)
         assert told is not None
         self.assertTrue(told.is_newer_than(NOTHING_PUBLISHED))
-        self.assertIsNone(told_version(digest("a", 1, 1, revision=0), NOTHING_PUBLISHED))
+        self.assertIsNone(digest_version(make_digest("a", 1, 1, revision=0), NOTHING_PUBLISHED))
 
 
 class DocumentsTest(unittest.TestCase):
@@ -215,7 +215,7 @@
         self.publication = publication(2, published(10, 34, 2))
         self.gossip.publication = self.publication
         self.publication.offer_list([server_item("a", 3)], NOW, NOW, 2)
-        self.news = PublishedNews(self.gossip)
+        self.news = PublishedSync(self.gossip)
         self.offers = _Offers()
         self.news.__dict__["_fetcher"] = self.offers
 
@@ -223,7 +223,7 @@
         """A digest that answers one sent at NOW + 5."""
         echo = {"echo_boot": OWN_BOOT, "echo": int((NOW + 5) * 1000)}
         self.offers.offers.clear()
-        self.news.receive(digest("p", 3, 1, **(echo | told)), NOW + 6)
+        self.news.receive(make_digest("p", 3, 1, **(echo | told)), NOW + 6)
         return self.offers.offers
 
     def told(self, version: PublishedVersion, epoch: int) -> dict[str, object]:
--- a/pondpin/tests/test_restore_machine.py
+++ b/pondpin/tests/test_restore_machine.py
@@ -17,7 +17,7 @@
 from pondpin.platform.store import PlatformStore
 from pondpin.relay.model import RelayConfiguration
 from pondpin.relay.peers.gossip import Gossip
-from pondpin.relay.peers.published_news import PublishedNews
+from pondpin.relay.peers.published_news import PublishedSync
 from pondpin.relay.published.document_server import DocumentServer
 from pondpin.relay.published.documents import (
     DocumentKind,
@@ -80,7 +80,7 @@
         )
         self.gossip = gossip
         gossip.publication = self.publication
-        self.news = PublishedNews(gossip)
+        self.news = PublishedSync(gossip)
         self.news.__dict__["_fetcher"] = self
         self.server = DocumentServer(self.publication, clock)
         self.http = _StoreHttp(store)
@@ -219,7 +219,7 @@
         asked = self.clock()
         self.tick()
         digest = msgspec.structs.replace(
-            there.gossip.describe(self.clock()),
+            there.gossip.build_digest(self.clock()),
             echo_boot=here.gossip.boot,
             echo=int(asked * MILLISECONDS),
         )
--- a/pondpin/tests/test_suspended.py
+++ b/pondpin/tests/test_suspended.py
@@ -25,7 +25,7 @@
 from pondpin.relay.choosing.retry_window import RetryBounds, RetryWindow
 from pondpin.relay.log import EventLog
 from pondpin.relay.model import EngineReport, ListedUpstream
-from pondpin.relay.peers.digests import PeerSeen, PeerTable
+from pondpin.relay.peers.digests import PeerRecord, PeerTable
 from pondpin.relay.ports import Hear, LeaseAnswer, PartPlace
 from pondpin.relay.published.freshness import PublishedVersion
 from pondpin.relay.upstreams.leases import UNUSED_SECONDS, LeaseGroup, Leases
@@ -66,7 +66,7 @@
 
     def test_a_peer_that_was_heard_before_is_not_alive(self) -> None:
         table = PeerTable(1)
-        seen = PeerSeen("a", 2, "10.0.0.1", 1, 1, steady_now(), "north", True)
+        seen = PeerRecord("a", 2, "10.0.0.1", 1, 1, steady_now(), "north", True)
         table.by_host[seen.host] = seen
         table._note_alive(seen, None)
         self.assertEqual(len(table.alive(steady_now())), 1)
--- a/pondpin/tools/gossip_fleet.py
+++ b/pondpin/tools/gossip_fleet.py
@@ -111,7 +111,7 @@
             seeds=tuple(f"10.0.0.{seed}" for seed in range(centers)),
             publication=publication,
             table=UpstreamTable(center, self._without),
-            peers=_NoPieces(),
+            piece_port=_NoPieces(),
             log=log,
             clock=self._clock,
             rng=random.Random(number),
@@ -157,11 +157,11 @@
         """One instance reads if that is due, and tells."""
         self.now, _, index = heapq.heappop(self._due)
         member = self.members[index]
-        rank = member.known.rank(member.instance, member.table.data_center, self.now)
+        rank = member.peer_table.rank(member.instance, member.table.data_center, self.now)
         if is_due(self._proof_age(member), rank, self._scale):
             self.reads += 1
             member.publication.receive_proof(Proof(member.publication.in_force, self.now))
-        member.note_silence(self.now)
+        member.update_silent_data_centers(self.now)
         member.send(self.now)
         heapq.heappush(self._due, (self.now + PERIOD_SECONDS, next(self._order), index))
 
--- a/pondpin/tools/measure_limit_ways.py
+++ b/pondpin/tools/measure_limit_ways.py
@@ -19,7 +19,7 @@
 import xxhash
 
 from pondpin.pace import Pace
-from pondpin.relay.peers.permit_desk import Members, home_of
+from pondpin.relay.peers.permit_desk import Membership, owner_of
 from pondpin.runtime import Ready, run_command
 
 UPSTREAMS = 8
@@ -215,8 +215,8 @@
         center = life % min(CENTERS, world.instances)
         mates = [item for item in range(world.instances) if world.center(item) == center]
         live = [item for item in mates if world.hears(instance, item)]
-        members = Members({str(item): str(item) for item in live}, len(live), len(mates))
-        home = home_of(life, members)
+        members = Membership({str(item): str(item) for item in live}, len(live), len(mates))
+        home = owner_of(life, members)
         return (int(home.host), home.share) if home.host else (-1, 0.0)
 
     def send(self, instance: int) -> tuple[int, float] | None:
