--- a/pondpin/relay/attempts/handler.py
+++ b/pondpin/relay/attempts/handler.py
@@ -40,13 +40,13 @@
 from pondpin.relay.log import EventLog
 from pondpin.relay.model import AnswerHead, RequestFacts, Route, RouteKind
 from pondpin.relay.ports import Dialect
-from pondpin.relay.upstreams.hearing import Hearing
+from pondpin.relay.upstreams.hearing import NoticeHandler
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.request_identity import identify
 
 if TYPE_CHECKING:
-    from pondpin.relay.upstreams.leases import LeaseGroup, Leases
-    from pondpin.relay.upstreams.reports import Reports
+    from pondpin.relay.upstreams.leases import LeaseGroup, LeaseManager
+    from pondpin.relay.upstreams.reports import ReportClient
 
 # Upstreams tried for a request, counting those that no byte reached.
 MOST_ATTEMPTS = 5
@@ -67,9 +67,9 @@
     planner: Planner
     placer: Placer
     table: UpstreamTable
-    leases: Callable[[], "Leases"]
-    reports: Callable[[], "Reports"]
-    notice_handler: Hearing
+    leases: Callable[[], "LeaseManager"]
+    reports: Callable[[], "ReportClient"]
+    notice_handler: NoticeHandler
     send_checks: SendChecks
     crash_guard: CrashGuard
     identity_key: bytes
@@ -233,7 +233,7 @@
             return None
         before = progress.events
         first_event = plan.choice.first_event_seconds
-        keeping = self.leases().keep(group, first_event, lambda: progress.events > before)
+        keeping = self.leases().keep_alive(group, first_event, lambda: progress.events > before)
         return asyncio.ensure_future(keeping)
 
     def may_retry(self, call: RelayCall, progress: Progress) -> bool:
@@ -266,7 +266,7 @@
             (used_up, "its attempts are used up"),
             (now >= call.deadline, "its time is over"),
             (not self.crash_guard.allows_retry(call, end), "upstreams ended under it"),
-            (not self.table.usable(call.service, now, progress.tried), NOBODY),
+            (not self.table.candidates(call.service, now, progress.tried), NOBODY),
         )
         for holds, reason in bars:
             if holds:
@@ -325,15 +325,15 @@
 
     def on_data(self, now: float) -> None:
         """See Watcher."""
-        self.plan.lead.heard_at = self.run.last_data_at = now
+        self.plan.lead.last_seen_at = self.run.last_data_at = now
 
     def busy_until(self, now: float) -> float:
         """See Watcher."""
-        return self.plan.lead.reads_until(now) + READING_SLACK_SECONDS
+        return self.plan.lead.prefill_end(now) + READING_SLACK_SECONDS
 
     async def query_status(self) -> bool:
         """See Watcher."""
-        return await self.handler.reports().ask(self.plan.lead)
+        return await self.handler.reports().query_status(self.plan.lead)
 
     def may_retry(self) -> bool:
         """See Watcher."""
@@ -348,7 +348,7 @@
     def is_partitioned(self, now: float) -> bool:
         """See Watcher."""
         lead = self.plan.lead
-        return lead.ended or lead.needs_probe or self.handler.table.is_cut(lead, now)
+        return lead.ended or lead.needs_probe or self.handler.table.is_partitioned(lead, now)
 
 
 def _cancel(task: "asyncio.Future[None]") -> None:
--- a/pondpin/relay/attempts/life_watch.py
+++ b/pondpin/relay/attempts/life_watch.py
@@ -108,7 +108,7 @@
 
     def _look_if_silent(self, run: Run, state: UpstreamState) -> None:
         left_at = run.ended_at
-        if left_at is None or state.heard_at > left_at or run not in self.runs(state):
+        if left_at is None or state.last_seen_at > left_at or run not in self.runs(state):
             return
         if self.table.is_in_service(state):
             self.looks.start_check(state)
--- a/pondpin/relay/attempts/placing.py
+++ b/pondpin/relay/attempts/placing.py
@@ -21,7 +21,7 @@
 
 if TYPE_CHECKING:
     from pondpin.relay.attempts.permit_taking import PermitAcquirer
-    from pondpin.relay.upstreams.leases import LeaseGroup, Leases
+    from pondpin.relay.upstreams.leases import LeaseGroup, LeaseManager
 
 # Groups of leases asked for before a request is refused for want of memory.
 LEASE_TRIES = 3
@@ -40,7 +40,7 @@
 
     planner: Planner
     turns: Dispatcher
-    leases: Callable[[], "Leases"]
+    leases: Callable[[], "LeaseManager"]
     send_checks: SendChecks
     table: UpstreamTable
     permits: Callable[[], "PermitAcquirer"]
@@ -69,7 +69,7 @@
             plan = await self._plan_or_wait(call, progress, avoid)
             if plan.choice is None or not plan.choice.lease_tokens:
                 return plan, None
-            group, refusing = await self.leases().take(
+            group, refusing = await self.leases().acquire(
                 call.id, plan.helper_endpoints, plan.choice.lease_tokens
             )
             if group is not None:
@@ -89,7 +89,7 @@
             if plan is None and shunned:
                 # Beside a suspect is better than nowhere.
                 plan = await self._plan_when_free(call, progress, avoid)
-            if plan is not None and (plan.lead.looks_well(self.clock()) or progress.permit):
+            if plan is not None and (plan.lead.looks_healthy(self.clock()) or progress.permit):
                 return plan
             if progress.permit is not None:
                 # Its upstream has no place for this request after all.
--- a/pondpin/relay/attempts/quarantine_records.py
+++ b/pondpin/relay/attempts/quarantine_records.py
@@ -28,7 +28,7 @@
 from pondpin.relay.log import EventLog
 from pondpin.relay.log_events import VerdictChanged
 from pondpin.relay.peers.quarantine_news import QuarantineSync
-from pondpin.relay.upstreams.state import release_of
+from pondpin.relay.upstreams.state import release_id
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.request_identity import show
 
@@ -87,7 +87,7 @@
         states = self.table.of_service(call.service)
         around = Surroundings(
             lives=len(states),
-            releases=frozenset(release_of(state) for state in states if not state.leaving),
+            releases=frozenset(release_id(state) for state in states if not state.leaving),
             turn=self.turn(call.identity),
         )
         return self.quarantine.judge(call.identity, self.clock(), around)
@@ -123,7 +123,7 @@
 
     def record_end(self, seen: ObservedEnd) -> None:
         """Record an end that this instance saw, and tell peers."""
-        release = release_of(seen.state)
+        release = release_id(seen.state)
         news = []
         for run in seen.runs:
             end = LifeEnd(
@@ -210,7 +210,7 @@
 
     def _tell_end(self, end: LifeEnd, now: float) -> str:
         age = round((now - end.at) * MILLISECONDS)
-        return f"{self.table.name_of(end.life)} {age} ms ago, seen by {end.source}"
+        return f"{self.table.label_of(end.life)} {age} ms ago, seen by {end.source}"
 
 
 def _tell(call: RelayCall, judgement: Judgement) -> str:
--- a/pondpin/relay/attempts/request_notes.py
+++ b/pondpin/relay/attempts/request_notes.py
@@ -120,7 +120,7 @@
                 proof_age_ms=round(min(beliefs.proof_age(now), UNKNOWN_AGE_SECONDS) * MILLISECONDS),
                 upstream=plan.lead.id,
                 in_flight=load.in_flight,
-                reading_ms=round(load.reading * MILLISECONDS),
+                reading_ms=round(load.prefill_seconds * MILLISECONDS),
                 rank=call.rank,
                 prompt_tokens=call.facts.prompt_tokens,
                 target_ms=round(call.route.target * MILLISECONDS),
--- a/pondpin/relay/attempts/upstream_judge.py
+++ b/pondpin/relay/attempts/upstream_judge.py
@@ -8,7 +8,7 @@
 from pondpin.relay.log import EventLog
 from pondpin.relay.log_events import UpstreamEjected
 from pondpin.relay.model import AnswerHead
-from pondpin.relay.upstreams.hearing import REQUEST, Asked, Hearing
+from pondpin.relay.upstreams.hearing import REQUEST, NoticeHandler, SentRequest
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.table import UpstreamTable
 
@@ -24,7 +24,7 @@
     def __init__(
         self,
         table: UpstreamTable,
-        hearing: Hearing,
+        hearing: NoticeHandler,
         metrics: Metrics,
         log: EventLog,
         clock: Clock,
@@ -54,34 +54,38 @@
         if end.kind is EndKind.STALLED and now - began < SILENT_SECONDS:
             # The deadline expired; don't count this against the upstream.
             return
-        if end.kind is EndKind.STALLED and plan.lead.heard_at > began and plan.lead.is_busy(now):
+        if (
+            end.kind is EndKind.STALLED
+            and plan.lead.last_seen_at > began
+            and plan.lead.is_busy(now)
+        ):
             # It lives and is known to be busy: placement weighs that already.
             return
         failing = end.kind in (EndKind.NOT_SENT, EndKind.STALLED)
         if failing or end.kind in (EndKind.BROKEN, EndKind.INVALID):
-            silent = plan.lead.heard_at < began
+            silent = plan.lead.last_seen_at < began
             certain = failing and silent
             self._note_failure(plan.lead, now, end.detail, certain)
         elif end.answer is not None and end.answer.status >= FIRST_SERVER_ERROR:
             self._note_failure(plan.lead, now, f"status {end.answer.status}", False)
         else:
-            plan.lead.note_success(now)
+            plan.lead.record_success(now)
 
     def _note_failure(self, state: UpstreamState, now: float, reason: str, certain: bool) -> None:
-        if self._table.note_failure(state, now, certain):
+        if self._table.record_failure(state, now, certain):
             left = round(state.health.ejected_until - now, 2)
             self._log.write(UpstreamEjected(upstream=state.id, reason=reason, seconds=left))
 
     def observe_head(self, plan: Plan, head: AnswerHead, asked_at: float) -> None:
         """The head of an answer came: take what it says of its upstream."""
         now = self._clock()
-        plan.lead.heard_at = now
+        plan.lead.last_seen_at = now
         if head.load is not None:
-            plan.lead.told, plan.lead.told_at = head.load, now
+            plan.lead.reported_load, plan.lead.reported_load_at = head.load, now
         self._hear(plan.lead, head, asked_at)
         # Another upstream has the address; one that names itself is still there.
         if head.status == MISDIRECTED and head.instance != plan.lead.id:
-            self._hearing.note_leaving(plan.lead.life, "misdirected", now)
+            self._hearing.record_leaving(plan.lead.life, "misdirected", now)
 
     def _hear(self, lead: UpstreamState, head: AnswerHead, asked_at: float) -> None:
         """Take what the answer says of the upstream that gave it.
@@ -91,7 +95,7 @@
         """
         if head.status < FIRST_FAILURE and not head.signed:
             return
-        self._hearing.hear(Asked(lead.id, lead.life, REQUEST, asked_at), head)
+        self._hearing.handle_head(SentRequest(lead.id, lead.life, REQUEST, asked_at), head)
         if head.status < FIRST_SERVER_ERROR:
             lead.standing.note_taken(self._clock())
 
--- a/pondpin/relay/changes.py
+++ b/pondpin/relay/changes.py
@@ -61,7 +61,7 @@
 
     def take_list(self, change: ListChange) -> None:
         """The list of upstreams changed."""
-        news = self.table.take_list(change.listed, change.missing, self.clock())
+        news = self.table.apply_list(change.listed, change.missing, self.clock())
         for name in news.leaving:
             self.metrics.leavings.inc({"source": "list"})
             self.log.write(UpstreamLeaving(upstream=name, source="list"))
@@ -70,9 +70,9 @@
 
     def _record_restart(self, restart: Restart) -> None:
         """A later life is listed; loaded with the first of them."""
-        from pondpin.relay.upstreams.restarts import record_restart
+        from pondpin.relay.upstreams.restarts import handle_restart
 
-        record_restart(restart, self.table, self.http, self.log, self.clock())
+        handle_restart(restart, self.table, self.http, self.log, self.clock())
 
     def receive_report(self, report: Report) -> None:
         """Log what else the publication tells; loaded with the first of it."""
--- a/pondpin/relay/choosing/baselines.py
+++ b/pondpin/relay/choosing/baselines.py
@@ -5,7 +5,7 @@
 from pondpin.policies import PlacementPolicy
 from pondpin.relay.choosing.engine_choice import EngineChoice
 from pondpin.relay.model import EngineProfile
-from pondpin.relay.upstreams.forecast import read_seconds
+from pondpin.relay.upstreams.forecast import prefill_duration
 from pondpin.relay.upstreams.state import UpstreamState
 
 
@@ -21,5 +21,5 @@
     lead = rng.choice(states)
     if placement is PlacementPolicy.LEAST_OUTSTANDING:
         lead = min(states, key=lambda state: (state.in_flight(now), rng.random()))
-    seconds = read_seconds(profile, prompt_tokens)
+    seconds = prefill_duration(profile, prompt_tokens)
     return lead, EngineChoice(lead.id, (), seconds, 0, seconds, 0.0, 0)
--- a/pondpin/relay/choosing/engine_choice.py
+++ b/pondpin/relay/choosing/engine_choice.py
@@ -9,16 +9,16 @@
 from pondpin.relay.model import EngineProfile
 from pondpin.relay.upstreams.forecast import (
     EngineLoad,
-    delay_of_pending,
-    delays_of_pending,
-    disturbance,
+    decode_loss,
+    delay_loss,
+    first_event_miss_probability,
     first_event_seconds,
-    first_late,
-    late_share,
+    miss_probability,
     pass_seconds,
-    read_seconds,
+    prefill_duration,
+    total_delay_loss,
 )
-from pondpin.relay.upstreams.work import LONG_READ_SECONDS
+from pondpin.relay.upstreams.work import LONG_PREFILL_SECONDS
 
 # Numbers of engines that are compared for one prompt; an engine lets 16 others help.
 PART_COUNTS = (1, 2, 3, 4, 6, 8, 12, 16)
@@ -179,7 +179,7 @@
     total = job.waited + choice.first_event_seconds
     if total < WAIT_SHARE * job.target:
         return choice.interference > WAIT_WORTH * job.weight
-    earned = job.weight * (1.0 - LATE_LOSS * first_late(total, job.target))
+    earned = job.weight * (1.0 - LATE_LOSS * first_event_miss_probability(total, job.target))
     return choice.interference > earned
 
 
@@ -190,7 +190,7 @@
 
 def is_light(profile: EngineProfile, prompt_tokens: int, gap_target: float) -> bool:
     """Whether a prompt can be read beside writers of its own kind."""
-    return read_seconds(profile, prompt_tokens) <= LIGHT_SHARE * gap_target
+    return prefill_duration(profile, prompt_tokens) <= LIGHT_SHARE * gap_target
 
 
 def light_pool_size(profile: EngineProfile, light_in_flight: int, engines: int) -> int:
@@ -241,16 +241,16 @@
     best = min(pair, key=lambda view: _light_score(profile, job, view))
     if _is_crowded(profile, job, best):
         best = min(engines, key=lambda view: (_light_score(profile, job, view), rng.random()))
-    seconds = read_seconds(profile, job.prompt_tokens)
+    seconds = prefill_duration(profile, job.prompt_tokens)
     first = first_event_seconds(profile, best.load, (), seconds, job.prompt_tokens)
     waiting = max(0, best.load.in_flight + 1 - profile.slots) * QUEUE_SECONDS
-    loss = job.weight * first_late(first + waiting, job.target)
+    loss = job.weight * first_event_miss_probability(first + waiting, job.target)
     return EngineChoice(best.id, (), seconds, 0, first + waiting, loss, pool)
 
 
 def _is_crowded(profile: EngineProfile, job: Job, view: Engine) -> bool:
     load = view.load
-    busy = load.in_flight >= profile.slots - 1 or load.reading > job.gap_target / 2
+    busy = load.in_flight >= profile.slots - 1 or load.prefill_seconds > job.gap_target / 2
     return busy or not _has_memory(profile, load, job.tokens)
 
 
@@ -258,7 +258,7 @@
     """Seconds that placing a light job here costs it and those beside it."""
     load = view.load
     over = max(0, load.in_flight + 1 - profile.slots)
-    score = load.reading + pass_seconds(profile, load) / 2 + over * QUEUE_SECONDS
+    score = load.prefill_seconds + pass_seconds(profile, load) / 2 + over * QUEUE_SECONDS
     score += load.in_flight / profile.slots * FILLED_SECONDS
     if not _has_memory(profile, load, job.tokens):
         score += job.target
@@ -274,7 +274,7 @@
     rng: random.Random,
     rules: ChoiceOptions,
 ) -> EngineChoice | None:
-    alone = read_seconds(profile, job.prompt_tokens)
+    alone = prefill_duration(profile, job.prompt_tokens)
     choices = [
         _choose_parts(profile, job, engines, pool, pool_worth, count, alone / count, rng, rules)
         for count in PART_COUNTS
@@ -303,13 +303,13 @@
         view.id: _part_cost(profile, view, pool_worth if index < pool else 0.0, part)
         for index, view in enumerate(engines)
     }
-    waits = rules.wait_for_long_prefills and part >= LONG_READ_SECONDS
+    waits = rules.wait_for_long_prefills and part >= LONG_PREFILL_SECONDS
     second = job.weight / job.target
     ranked = sorted(
         engines,
         key=lambda view: (
             costs[view.id]
-            + (second * view.load.long_until if waits else _pending_share(view, part)),
+            + (second * view.load.long_prefill_seconds if waits else _pending_share(view, part)),
             rng.random(),
         ),
     )
@@ -325,15 +325,19 @@
         profile, lead.load, [view.load for view in helpers], part, job.prompt_tokens
     )
     first += max(0, lead.load.in_flight + 1 - profile.slots) * QUEUE_SECONDS
-    start = max(view.load.long_until for view in chosen) if waits else 0.0
-    first += max(0.0, start - lead.load.reading) if waits else 0.0
+    start = max(view.load.long_prefill_seconds for view in chosen) if waits else 0.0
+    first += max(0.0, start - lead.load.prefill_seconds) if waits else 0.0
     harm = sum(costs[view.id] for view in chosen)
-    delays = 0.0 if waits else delays_of_pending((view.load for view in chosen), part)
+    delays = 0.0 if waits else total_delay_loss((view.load for view in chosen), part)
     harm += delays
     loss = harm
     total = job.waited + first
-    loss += job.weight * (LATE_LOSS * first_late(total, job.target) + HASTE * first / job.target)
-    loss += job.weight * GONE_LOSS * late_share(total, job.caller_timeout, GONE_SURE, GONE_LATE)
+    loss += job.weight * (
+        LATE_LOSS * first_event_miss_probability(total, job.target) + HASTE * first / job.target
+    )
+    loss += (
+        job.weight * GONE_LOSS * miss_probability(total, job.caller_timeout, GONE_SURE, GONE_LATE)
+    )
     loss += PART_WORTH * count
     names = tuple(view.id for view in helpers)
     return EngineChoice(lead.id, names, part, lease, first, loss, pool, delays, start, harm)
@@ -341,12 +345,12 @@
 
 def _pending_share(view: Engine, part: float) -> float:
     """This engine's share of what a part costs those whose prompts are being read."""
-    return sum(delay_of_pending(item, part) / item.parts for item in view.load.pending)
+    return sum(delay_loss(item, part) / item.parts for item in view.load.pending)
 
 
 def _part_cost(profile: EngineProfile, view: Engine, worth_per_second: float, part: float) -> float:
     """Worth that others lose by a part: those who write there, and light streams to come."""
-    return LATE_LOSS * disturbance(profile, view.load, part) + worth_per_second * part
+    return LATE_LOSS * decode_loss(profile, view.load, part) + worth_per_second * part
 
 
 def _lease_tokens(
@@ -374,8 +378,10 @@
         fitting,
         key=lambda view: (
             max(0, view.load.in_flight + 1 - profile.slots),
-            view.load.reading > LEAD_READING_SECONDS,
-            sum(item.worth for item in view.load.writers if item.gap_target < job.gap_target),
+            view.load.prefill_seconds > LEAD_READING_SECONDS,
+            sum(
+                item.weight for item in view.load.decode_streams if item.gap_target < job.gap_target
+            ),
             view.load.tokens,
             not view.local,
         ),
--- a/pondpin/relay/choosing/planner.py
+++ b/pondpin/relay/choosing/planner.py
@@ -21,11 +21,11 @@
 from pondpin.relay.mechanisms import Mechanism
 from pondpin.relay.model import EngineProfile
 from pondpin.relay.ports import PartPlace
-from pondpin.relay.upstreams.center_loads import CenterLoadSeen
+from pondpin.relay.upstreams.center_loads import ReceivedLoad
 from pondpin.relay.upstreams.forecast import EngineLoad
 from pondpin.relay.upstreams.state import UpstreamState
-from pondpin.relay.upstreams.table import UpstreamTable, apart
-from pondpin.relay.upstreams.work import LONG_READ_SECONDS, Work
+from pondpin.relay.upstreams.table import UpstreamTable, isolation_candidates
+from pondpin.relay.upstreams.work import LONG_PREFILL_SECONDS, Work
 from pondpin.service_choice import ServiceView, choose_service
 
 # A choice that puts this much reading on an engine is told to peers at once, in seconds.
@@ -137,7 +137,7 @@
     def plan(self, call: RelayCall, progress: Progress, avoid: frozenset[int]) -> Plan | None:
         """The next attempt of a call, None when no upstream can take it now."""
         now = self._clock()
-        states = self._table.usable(
+        states = self._table.candidates(
             call.service, now, progress.tried | avoid, lambda state: self._may_take(state, progress)
         )
         if progress.permit is not None:
@@ -146,9 +146,9 @@
         profile = service.engine if service is not None else None
         if service is not None:
             share = connection_share(service.connections, self._sharers())
-            states = [state for state in states if state.open_here < share]
+            states = [state for state in states if state.own_in_flight < share]
         if progress.suspected:
-            states = apart(self._near(states, True), progress.spent_releases, now)
+            states = isolation_candidates(self._near(states, True), progress.spent_releases, now)
             # Suspects of several instances take different engines.
             states = [self._rng.choice(states[len(states) // 2 :])] if states else []
         if not states:
@@ -238,9 +238,11 @@
         near: EngineChoice | None,
         late: bool,
         now: float,
-    ) -> tuple[str, CenterLoadSeen] | None:
+    ) -> tuple[str, ReceivedLoad] | None:
         """A data centre that a light stream had better go to."""
-        found = self._table.center_loads.idlest(service, self._table.silent_centers, now)
+        found = self._table.data_center_loads.least_loaded(
+            service, self._table.silent_data_centers, now
+        )
         if found is None or late or near is None:
             return found
         in_flight = self._table.by_id[near.lead].in_flight(now)
@@ -255,7 +257,7 @@
         pool, each knew a fifth of it: the busiest of 15 engines had 3.5 times the mean, and half
         of the short streams came late.
         """
-        if self._table.peers_tell_all:
+        if self._table.all_peers_report_work:
             return states
         near = [state for state in states if self._is_local(state)]
         fewest = 1 if light else MIN_LOCAL_ENGINES
@@ -263,11 +265,11 @@
 
     def _light_elsewhere(self, service: str, engines: list[UpstreamState], now: float) -> int:
         """Light streams on some engines, as far as other data centres tell of theirs."""
-        if self._table.peers_tell_all or all(self._is_local(state) for state in engines):
+        if self._table.all_peers_report_work or all(self._is_local(state) for state in engines):
             return 0
-        own = self._table.own_center_loads(now)
+        own = self._table.own_data_center_loads(now)
         near = sum(load.light for load in own if load.service == service)
-        return near + self._table.center_loads.light_elsewhere(service, now)
+        return near + self._table.data_center_loads.light_streams_elsewhere(service, now)
 
     def _choose(
         self,
@@ -282,7 +284,7 @@
 
         light is what is told of their light streams.
         """
-        if not self._table.peers_tell_all:
+        if not self._table.all_peers_report_work:
             states = interleave_data_centers(states)
         views = [_Candidate(state, now, self._is_local(state)) for state in states]
         light = max(light, sum(state.light_in_flight(now) for state in states))
@@ -335,20 +337,20 @@
             self._light_times.append(now)
         group = self._rng.getrandbits(GROUP_BITS)
         work = Work(
-            reading=choice.part_seconds,
+            prefill_seconds=choice.part_seconds,
             since=now,
             tokens=lead_tokens,
             target=job.target,
             gap_target=job.gap_target,
-            worth=job.weight,
+            weight=job.weight,
             light=light,
-            writes=True,
+            decodes=True,
             group=group,
             parts=len(plan.helpers) + 1,
         )
         plan.lead.work_by_key[key] = work
         for helper in plan.helpers:
-            helper.work_by_key[key] = replace(work, tokens=choice.lease_tokens, writes=False)
+            helper.work_by_key[key] = replace(work, tokens=choice.lease_tokens, decodes=False)
         if choice.part_seconds >= TELL_SECONDS or progress.attempts:
             # Also where a second try goes: a suspect that lost the same engine keeps off it.
             self._tell_soon()
@@ -359,12 +361,12 @@
         """The first event came: all parts are read."""
         now = self._clock()
         for state in (plan.lead, *plan.helpers):
-            state.note_read(key, now)
+            state.record_prefill_end(key, now)
         self._tell_if_long(plan)
 
     def end_attempt(self, plan: Plan, key: int) -> None:
         """Take an attempt's work out of the ledger."""
-        was_read = plan.lead.work_by_key[key].first_event
+        was_read = plan.lead.work_by_key[key].has_first_event
         for state in (plan.lead, *plan.helpers):
             state.work_by_key.pop(key, None)
         if not was_read:
@@ -372,11 +374,11 @@
 
     def _tell_if_long(self, plan: Plan) -> None:
         """Peers' long prompts wait for the engines of this one."""
-        if plan.choice is not None and plan.choice.part_seconds >= LONG_READ_SECONDS:
+        if plan.choice is not None and plan.choice.part_seconds >= LONG_PREFILL_SECONDS:
             self._tell_soon()
         self._tell_long_reads_of(plan)
 
     def _tell_long_reads_of(self, plan: Plan) -> None:
         """Every instance hears which engines a long prompt takes, and when they have read it."""
-        if plan.choice is not None and plan.choice.part_seconds >= LONG_READ_SECONDS:
+        if plan.choice is not None and plan.choice.part_seconds >= LONG_PREFILL_SECONDS:
             self._tell_long_reads()
--- a/pondpin/relay/choosing/turns.py
+++ b/pondpin/relay/choosing/turns.py
@@ -12,8 +12,8 @@
 from pondpin.relay.choosing.jobs import make_job
 from pondpin.relay.choosing.planner import Plan, RelayPolicy
 from pondpin.relay.mechanisms import Mechanism
-from pondpin.relay.upstreams.forecast import read_seconds
-from pondpin.relay.upstreams.work import LONG_READ_SECONDS
+from pondpin.relay.upstreams.forecast import prefill_duration
+from pondpin.relay.upstreams.work import LONG_PREFILL_SECONDS
 
 # A prompt is sent when its engines are free within this time.
 START_SLACK_SECONDS = 0.02
@@ -80,7 +80,7 @@
         holds = should_hold(choice, job) and self._policy.has(Mechanism.HOLDING)
         if holds or not self._knows_peers():
             return DispatchDecision.HOLD
-        is_short = choice.part_seconds < LONG_READ_SECONDS
+        is_short = choice.part_seconds < LONG_PREFILL_SECONDS
         is_free = choice.start_delay <= START_SLACK_SECONDS
         in_turn = self._policy.has(Mechanism.CALENDAR)
         if is_short or not in_turn or (is_free and self._is_next(turn)):
@@ -132,7 +132,7 @@
         assert profile is not None and plan.choice is not None, "only engines' prompts wait"
         prompt = QueuedPrompt(
             key=self._rng.getrandbits(KEY_BITS),
-            prefill_seconds=read_seconds(profile, job.prompt_tokens),
+            prefill_seconds=prefill_duration(profile, job.prompt_tokens),
             due_at=now - job.waited + DUE_SHARE * job.target,
         )
         self._calendar.add(prompt)
--- a/pondpin/relay/entry.py
+++ b/pondpin/relay/entry.py
@@ -47,7 +47,7 @@
 from pondpin.relay.published.publication import Publication
 from pondpin.relay.published.reader import ReaderController, reading_scale
 from pondpin.relay.published.source_monitor import SourceMonitor
-from pondpin.relay.upstreams.hearing import ITS_ANSWER, Hearing
+from pondpin.relay.upstreams.hearing import ANSWER_SOURCE, NoticeHandler
 from pondpin.relay.upstreams.probe import ProbeController
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.relay_settings import RelaySettings
@@ -155,7 +155,7 @@
             policy,
         )
         prefix = f"{settings.instance}-{self.boot:x}"
-        self.hearing = Hearing(
+        self.hearing = NoticeHandler(
             self.table,
             lambda: self.publication.list_at,
             self.gossip.send_soon,
@@ -231,7 +231,7 @@
 
     def _make_controllers(self) -> None:
         monitor = SourceMonitor(
-            self.log, lambda epoch: self.publication.receive_epoch(epoch, ITS_ANSWER)
+            self.log, lambda epoch: self.publication.receive_epoch(epoch, ANSWER_SOURCE)
         )
         source = PlatformStore(self.http, self.settings.source, monitor.receive_head)
         self.reader = ReaderController(
--- a/pondpin/relay/late_parts.py
+++ b/pondpin/relay/late_parts.py
@@ -12,7 +12,7 @@
 from pondpin.relay.attempts.crash_guard import CrashGuard
 from pondpin.relay.log import EventLog
 from pondpin.relay.peers.gossip import Gossip
-from pondpin.relay.upstreams.hearing import Hearing
+from pondpin.relay.upstreams.hearing import NoticeHandler
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.runtime import steady_now
 
@@ -21,9 +21,9 @@
     from pondpin.relay.operations import Operations
     from pondpin.relay.published.document_server import DocumentServer
     from pondpin.relay.published.pieces import FetchPieceReply, FetchPieceRequest, HttpPieces
-    from pondpin.relay.upstreams.leases import Leases
+    from pondpin.relay.upstreams.leases import LeaseManager
     from pondpin.relay.upstreams.prober import Prober
-    from pondpin.relay.upstreams.reports import Reports
+    from pondpin.relay.upstreams.reports import ReportClient
 
 PIECES_PATH = "/v1/pieces"
 METRICS_PATH = "/metrics"
@@ -60,7 +60,7 @@
         self,
         http: HttpClient,
         gossip: Gossip,
-        hearing: Hearing,
+        hearing: NoticeHandler,
         guard: CrashGuard,
         metrics: Metrics,
         log: EventLog,
@@ -75,17 +75,17 @@
         self._lease_prefix = lease_prefix
 
     @cached_property
-    def leases(self) -> "Leases":
+    def leases(self) -> "LeaseManager":
         """Memory of engines for prompts that lie on several."""
         from pondpin.platform.orders import PlatformLeases
-        from pondpin.relay.upstreams.leases import Leases
+        from pondpin.relay.upstreams.leases import LeaseManager
 
-        return Leases(
+        return LeaseManager(
             PlatformLeases(self._http),
             self._lease_prefix,
             self._log,
             self._gossip.table.has_ended,
-            self._hearing.hear,
+            self._hearing.handle_head,
             self._gossip.record_life_sent,
         )
 
@@ -97,14 +97,14 @@
         return DocumentServer(self._gossip.publication, steady_now)
 
     @cached_property
-    def reports(self) -> "Reports":
+    def reports(self) -> "ReportClient":
         """Reports of silent engines."""
         from pondpin.platform.reports import PlatformReports
-        from pondpin.relay.upstreams.reports import Reports
+        from pondpin.relay.upstreams.reports import ReportClient
 
-        hear, note_sent = self._hearing.hear, self._gossip.record_sent
+        hear, note_sent = self._hearing.handle_head, self._gossip.record_sent
         port = PlatformReports(self._http)
-        return Reports(port, self._log, steady_now, hear, note_sent)
+        return ReportClient(port, self._log, steady_now, hear, note_sent)
 
     @cached_property
     def prober(self) -> "Prober":
@@ -115,7 +115,7 @@
         return Prober(
             self._gossip.table,
             PlatformLiveness(self._http),
-            self._hearing.hear,
+            self._hearing.handle_head,
             self._log,
             steady_now,
             self._gossip.record_sent,
@@ -155,4 +155,4 @@
     async def settle(self) -> None:
         """Wait until what is being given back is back or lapses."""
         if "leases" in self.__dict__:
-            await self.leases.settle()
+            await self.leases.wait_released()
--- a/pondpin/relay/operations.py
+++ b/pondpin/relay/operations.py
@@ -144,7 +144,7 @@
         source,
         round(age, 2),
         round(left, 2),
-        state.open_here,
+        state.own_in_flight,
         told_limit(state.standing.limit),
         "" if home is None else home.instance,
         0.0 if home is None else round(home.share, 3),
--- a/pondpin/relay/peers/description.py
+++ b/pondpin/relay/peers/description.py
@@ -52,7 +52,7 @@
             list_age=-1 if list_at is None else round_up_ms(now - list_at),
             data_center=table.data_center,
             reads_source=gossip.reads_source(),
-            leaving=table.leaving_by_turns(MAX_DIGEST_LEAVING, now),
+            leaving=table.rotated_leaving(MAX_DIGEST_LEAVING, now),
             ejected=self._ejected(now),
             work=tuple(work for work in works if work is not None),
             hosts=self._some(near),
@@ -82,5 +82,5 @@
     def _ejected(self, now: float) -> tuple[EjectedDigest, ...]:
         return tuple(
             EjectedDigest(life, int(left * MILLISECONDS))
-            for life, left in self._gossip.table.better_avoided(now)
+            for life, left in self._gossip.table.lives_to_avoid(now)
         )
--- a/pondpin/relay/peers/digests.py
+++ b/pondpin/relay/peers/digests.py
@@ -10,7 +10,7 @@
 
 from pondpin.relay.choosing.calendar import QueuedPromptDigest
 from pondpin.relay.published.freshness import PublishedVersion
-from pondpin.relay.upstreams.center_loads import CenterLoad
+from pondpin.relay.upstreams.center_loads import DataCenterLoad
 from pondpin.relay.upstreams.work import WorkDigest
 
 # 6: upstreams are named by the number of their life; instances of an older format are not heard.
@@ -85,7 +85,7 @@
     hosts: tuple[str, ...]
     quiet: int
     asks: bool
-    center_loads: tuple[CenterLoad, ...] = ()
+    center_loads: tuple[DataCenterLoad, ...] = ()
     waiting: tuple[QueuedPromptDigest, ...] = ()
     far_hosts: tuple[str, ...] = ()
     quarantine_tag: int = 0
--- a/pondpin/relay/peers/gossip.py
+++ b/pondpin/relay/peers/gossip.py
@@ -186,7 +186,7 @@
         self._published.receive(digest, now)
         for life in digest.leaving:
             if self.table.mark_leaving(life, f"peer {digest.instance}", now):
-                name = self.table.name_of(life)
+                name = self.table.label_of(life)
                 self.log.write(UpstreamLeaving(upstream=name, source=f"peer {digest.instance}"))
         if digest.limits:
             self.limits.sync.apply(digest.limits, digest.instance, now)
@@ -194,9 +194,9 @@
             self.table.suspect(ejected.life, now + ejected.remaining_ms / MILLISECONDS)
         quiet = digest.quiet / MILLISECONDS
         until = now + max(PEER_LOAD_SECONDS, ALIVE_INTERVALS * quiet)
-        self.table.take_peer_work(digest.instance, digest.work, now, until)
+        self.table.update_peer_work(digest.instance, digest.work, now, until)
         self.calendar.update_peer(digest.instance, digest.waiting, now, until)
-        self.table.center_loads.take(digest.data_center, digest.center_loads, now)
+        self.table.data_center_loads.update(digest.data_center, digest.center_loads, now)
         if digest.asks:
             self._answer(digest, now)
 
@@ -207,7 +207,7 @@
             work=(),
             waiting=(),
             quiet=asking.quiet,
-            center_loads=self.table.own_center_loads(now),
+            center_loads=self.table.own_data_center_loads(now),
         )
         self._post(base, asking.host, self.peer_table.by_host.get(asking.host))
 
@@ -271,7 +271,7 @@
             waiting=(),
             asks=True,
             quiet=round_up_ms(turn.far_interval),
-            center_loads=self.table.own_center_loads(now),
+            center_loads=self.table.own_data_center_loads(now),
         )
         for peer in turn.far:
             self._post(far, peer.host, peer)
@@ -315,10 +315,10 @@
     def update_silent_data_centers(self, now: float) -> None:
         """Tell the upstreams' table which data centres can't be heard."""
         silent = self.peer_table.silent_data_centers(now)
-        for name in silent ^ self.table.silent_centers:
+        for name in silent ^ self.table.silent_data_centers:
             self.log.write(DataCenterChanged(data_center=name, silent=name in silent))
-        self.table.silent_centers = silent
-        self.table.peers_tell_all = not self.peer_table.is_large
+        self.table.silent_data_centers = silent
+        self.table.all_peers_report_work = not self.peer_table.is_large
 
     def _note_alive(self, now: float) -> None:
         alive_peers = self.peer_table.alive(now)
--- a/pondpin/relay/peers/limit_news.py
+++ b/pondpin/relay/peers/limit_news.py
@@ -65,7 +65,7 @@
         if hear_limit(self.table.standings, life, word, now):
             self.log.write(
                 UpstreamLimit(
-                    upstream=self.table.name_of(life),
+                    upstream=self.table.label_of(life),
                     life=f"{life:x}",
                     limit=told_limit(standing.limit),
                     before=before,
--- a/pondpin/relay/peers/news.py
+++ b/pondpin/relay/peers/news.py
@@ -27,9 +27,9 @@
             item.in_flight,
             item.light,
             item.tokens,
-            len(item.reads),
-            sum(read.is_overdue for read in item.reads),
-            item.writers,
+            len(item.prefills),
+            sum(read.is_overdue for read in item.prefills),
+            item.decode_streams,
         )
         for item in digest.work
     )
--- a/pondpin/relay/peers/permit_desk.py
+++ b/pondpin/relay/peers/permit_desk.py
@@ -134,7 +134,7 @@
         return [
             state
             for state in self.table.of_service(service)
-            if state.is_limited and state.life not in tried and state.usable(now)
+            if state.is_limited and state.life not in tried and state.is_usable(now)
         ]
 
     def has_spare(self, state: UpstreamState) -> bool:
--- a/pondpin/relay/upstreams/center_loads.py
+++ b/pondpin/relay/upstreams/center_loads.py
@@ -9,7 +9,7 @@
 CENTER_LOAD_SECONDS = 2.0
 
 
-class CenterLoad(msgspec.Struct, frozen=True, array_like=True):
+class DataCenterLoad(msgspec.Struct, frozen=True, array_like=True):
     """The load of a service's upstreams in one data centre, as an instance there knows it."""
 
     service: str
@@ -19,11 +19,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CenterLoadSeen:
+class ReceivedLoad:
     """What was told of a data centre, and when by this clock."""
 
-    load: CenterLoad
-    at: float
+    load: DataCenterLoad
+    received_at: float
 
     @property
     def mean_in_flight(self) -> float:
@@ -31,19 +31,19 @@
         return self.load.in_flight / max(1, self.load.upstreams)
 
 
-class CenterLoads:
+class DataCenterLoads:
     """The last word of each other data centre, by service."""
 
     def __init__(self, data_center: str) -> None:
         self._data_center = data_center
-        self._seen_by_key: dict[tuple[str, str], CenterLoadSeen] = {}
+        self._seen_by_key: dict[tuple[str, str], ReceivedLoad] = {}
 
-    def take(self, center: str, loads: Iterable[CenterLoad], now: float) -> None:
+    def update(self, center: str, loads: Iterable[DataCenterLoad], now: float) -> None:
         """Take a peer's word on its data centre."""
         for load in loads:
-            self._seen_by_key[center, load.service] = CenterLoadSeen(load, now)
+            self._seen_by_key[center, load.service] = ReceivedLoad(load, now)
 
-    def light_elsewhere(self, service: str, now: float) -> int:
+    def light_streams_elsewhere(self, service: str, now: float) -> int:
         """Light streams on the engines of the other data centres."""
         return sum(
             seen.load.light
@@ -51,9 +51,9 @@
             if center != self._data_center
         )
 
-    def idlest(
+    def least_loaded(
         self, service: str, silent: Set[str], now: float
-    ) -> tuple[str, CenterLoadSeen] | None:
+    ) -> tuple[str, ReceivedLoad] | None:
         """The data centre whose upstreams of a service have the fewest requests."""
         heard = [
             (center, seen)
@@ -62,9 +62,9 @@
         ]
         return min(heard, key=lambda item: item[1].mean_in_flight, default=None)
 
-    def _lately(self, service: str, now: float) -> list[tuple[str, CenterLoadSeen]]:
+    def _lately(self, service: str, now: float) -> list[tuple[str, ReceivedLoad]]:
         return [
             (center, seen)
             for (center, name), seen in self._seen_by_key.items()
-            if name == service and now - seen.at < CENTER_LOAD_SECONDS
+            if name == service and now - seen.received_at < CENTER_LOAD_SECONDS
         ]
--- a/pondpin/relay/upstreams/forecast.py
+++ b/pondpin/relay/upstreams/forecast.py
@@ -23,16 +23,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Writers:
+class DecodeStreams:
     """Streams on an engine with the same target for their pauses; worth is their sum."""
 
     gap_target: float
     count: int
-    worth: float
+    weight: float
 
 
 @dataclass(frozen=True, slots=True)
-class Pending:
+class PendingPrefill:
     """A request that waits for its prompt, or a part of it, to be read on an engine.
 
     first_event: seconds from its start to its first event, as forecast now. Its parts on other
@@ -41,7 +41,7 @@
 
     first_event: float
     target: float
-    worth: float
+    weight: float
     group: int
     parts: int
 
@@ -56,14 +56,14 @@
     """
 
     in_flight: int
-    reading: float
-    pending: tuple[Pending, ...]
+    prefill_seconds: float
+    pending: tuple[PendingPrefill, ...]
     tokens: int
-    writers: tuple[Writers, ...]
-    long_until: float = 0.0
+    decode_streams: tuple[DecodeStreams, ...]
+    long_prefill_seconds: float = 0.0
 
 
-def read_seconds(profile: EngineProfile, tokens: int) -> float:
+def prefill_duration(profile: EngineProfile, tokens: int) -> float:
     """Seconds that one engine takes to read a prompt alone."""
     pairs = tokens * tokens / 2
     return tokens / profile.read_rate + pairs * profile.pair_cost
@@ -71,48 +71,48 @@
 
 def pass_seconds(profile: EngineProfile, load: EngineLoad) -> float:
     """Seconds of a pass with the engine's writers, without any reading."""
-    count = sum(writers.count for writers in load.writers)
+    count = sum(writers.count for writers in load.decode_streams)
     if not count:
         return 0.0
     context = load.tokens / TOKENS_PER_K * profile.per_context_k
     return profile.stride * (profile.step + count * profile.per_writer + context)
 
 
-def late_share(seconds: float, target: float, sure: float, late: float) -> float:
+def miss_probability(seconds: float, target: float, sure: float, late: float) -> float:
     """How likely something forecast to take seconds misses its target, 0 to 1."""
     if target <= 0:
         return 0.0
     return min(1.0, max(0.0, (seconds / target - sure) / (late - sure)))
 
 
-def disturbance(profile: EngineProfile, load: EngineLoad, added: float) -> float:
+def decode_loss(profile: EngineProfile, load: EngineLoad, added: float) -> float:
     """Worth that an engine's writers lose when added seconds of reading join the next pass."""
-    before = pass_seconds(profile, load) + load.reading
+    before = pass_seconds(profile, load) + load.prefill_seconds
     return sum(
-        writers.worth * (_pause_late(before + added, writers) - _pause_late(before, writers))
-        for writers in load.writers
+        writers.weight * (_pause_late(before + added, writers) - _pause_late(before, writers))
+        for writers in load.decode_streams
     )
 
 
-def delay_of_pending(item: Pending, added: float) -> float:
+def delay_loss(item: PendingPrefill, added: float) -> float:
     """Worth that a request loses when a part of added seconds goes before its own."""
-    late = first_late(item.first_event + added, item.target)
-    late -= first_late(item.first_event, item.target)
-    return item.worth * (late + PENDING_SHARE * added / max(item.target, added))
+    late = first_event_miss_probability(item.first_event + added, item.target)
+    late -= first_event_miss_probability(item.first_event, item.target)
+    return item.weight * (late + PENDING_SHARE * added / max(item.target, added))
 
 
-def delays_of_pending(loads: Iterable[EngineLoad], added: float) -> float:
+def total_delay_loss(loads: Iterable[EngineLoad], added: float) -> float:
     """Worth lost by all whose prompts are read on some engines; each request counts once."""
     loss_by_group: dict[int, float] = {}
     for load in loads:
         for item in load.pending:
-            loss = delay_of_pending(item, added)
+            loss = delay_loss(item, added)
             loss_by_group[item.group] = max(loss, loss_by_group.get(item.group, 0.0))
     return sum(loss_by_group.values())
 
 
-def _pause_late(pause: float, writers: Writers) -> float:
-    return late_share(pause, writers.gap_target, SURE_SHARE, LATE_SHARE)
+def _pause_late(pause: float, writers: DecodeStreams) -> float:
+    return miss_probability(pause, writers.gap_target, SURE_SHARE, LATE_SHARE)
 
 
 def first_event_seconds(
@@ -122,7 +122,7 @@
 
     The lead's own writing starts after the last part and takes a pass for the first event.
     """
-    slowest = pass_seconds(profile, lead) / 2 + lead.reading + part
+    slowest = pass_seconds(profile, lead) / 2 + lead.prefill_seconds + part
     for load in parts:
         slowest = max(slowest, pass_seconds(profile, load) / 2 + part)
     context = tokens / TOKENS_PER_K * profile.per_context_k
@@ -130,6 +130,6 @@
     return slowest + max(own_pass, pass_seconds(profile, lead))
 
 
-def first_late(seconds: float, target: float) -> float:
+def first_event_miss_probability(seconds: float, target: float) -> float:
     """How likely a first event forecast after seconds misses its target."""
-    return late_share(seconds, target, FIRST_SURE_SHARE, FIRST_LATE_SHARE)
+    return miss_probability(seconds, target, FIRST_SURE_SHARE, FIRST_LATE_SHARE)
--- a/pondpin/relay/upstreams/hearing.py
+++ b/pondpin/relay/upstreams/hearing.py
@@ -12,38 +12,38 @@
 from pondpin.relay.upstreams.table import UpstreamTable
 
 if TYPE_CHECKING:
-    from pondpin.relay.upstreams.limit_hearing import LimitHearing
+    from pondpin.relay.upstreams.limit_hearing import LimitHandler
 
 LISTED_AS = {True: "leaving", False: "ready"}
-ITS_ANSWER = "its answer"
+ANSWER_SOURCE = "its answer"
 # A rest without end is told as this many seconds.
 LONGEST_TOLD = 1e9
 
 
-TOLD_CHARACTERS = 80
+MAX_LOGGED_CHARACTERS = 80
 REQUEST = "request"
 LIVENESS_CHECK = "liveness check"
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class SentRequest:
     """What an answer answers: the upstream and the life that were asked, what for, and when."""
 
     upstream: str
     life: int
-    what: str
-    at: float
+    purpose: str
+    sent_at: float
 
 
 # Takes the head of an answer.
-Listener = Callable[[Asked, AnswerHead], None]
+HeadHandler = Callable[[SentRequest, AnswerHead], None]
 
 
-def deaf(asked: Asked, head: AnswerHead) -> None:
+def ignore_head(asked: SentRequest, head: AnswerHead) -> None:
     """See Listener: takes no notice."""
 
 
-class Hearing:
+class NoticeHandler:
     """Notes and tells the notices of answers."""
 
     def __init__(
@@ -66,9 +66,9 @@
         self._metrics = metrics
         self._log = log
         self._clock = clock
-        self._limits: LimitHearing | None = None
+        self._limits: LimitHandler | None = None
 
-    def hear(self, asked: Asked, said: AnswerHead) -> None:
+    def handle_head(self, asked: SentRequest, said: AnswerHead) -> None:
         """Take the head of an answer, see Listener.
 
         An upstream that names itself in its answer speaks for itself, also at another's address:
@@ -77,16 +77,16 @@
         life, now = self._speaker(asked, said), self._clock()
         notice = said.notice
         if self._is_of_limits(said):
-            self._limit_hearing().hear(life, asked, said, now)
+            self._limit_hearing().handle_head(life, asked, said, now)
         if not (notice.leaves or notice.rest or notice.odd):
             return
-        if not self._table.standings.hear(life, notice, ITS_ANSWER, now):
+        if not self._table.standings.hear(life, notice, ANSWER_SOURCE, now):
             return
         if notice.rest > 0:
             self._metrics.rests_asked.inc({})
-        self._tell(life, said, asked.what, now)
+        self._tell(life, said, asked.purpose, now)
         if notice.leaves:
-            self.note_leaving(life, ITS_ANSWER, now)
+            self.record_leaving(life, ANSWER_SOURCE, now)
 
     def _is_of_limits(self, said: AnswerHead) -> bool:
         """Whether an answer says anything of limits, also by naming none, or an unknown word."""
@@ -94,23 +94,23 @@
         names_one = notice.limit is not None or bool(notice.odd_limit)
         return names_one or bool(said.unknown_words) or self._table.standings.names_limits
 
-    def _limit_hearing(self) -> "LimitHearing":
+    def _limit_hearing(self) -> "LimitHandler":
         """Loaded where an upstream says anything of it, which few ever do."""
         if self._limits is None:
-            from pondpin.relay.upstreams.limit_hearing import LimitHearing
+            from pondpin.relay.upstreams.limit_hearing import LimitHandler
 
-            self._limits = LimitHearing(self._table, self._log, self._tell_limit_news)
+            self._limits = LimitHandler(self._table, self._log, self._tell_limit_news)
         return self._limits
 
-    def _speaker(self, asked: Asked, said: AnswerHead) -> int:
+    def _speaker(self, asked: SentRequest, said: AnswerHead) -> int:
         if said.instance and said.instance != asked.upstream:
-            return self._table.life_named(said.instance)
+            return self._table.life_of_id(said.instance)
         return asked.life
 
-    def note_leaving(self, life: int, source: str, now: float) -> None:
+    def record_leaving(self, life: int, source: str, now: float) -> None:
         """A life leaves: nothing more is sent to it, and peers hear of it with the next digest."""
         if self._table.mark_leaving(life, source, now):
-            name = self._table.name_of(life)
+            name = self._table.label_of(life)
             self._metrics.leavings.inc({"source": source})
             self._log.write(UpstreamLeaving(upstream=name, source=source))
             self._tell_soon()
@@ -121,7 +121,7 @@
         rest = self._table.standings.of(life).rest
         self._log.write(
             UpstreamNotice(
-                upstream=self._table.name_of(life),
+                upstream=self._table.label_of(life),
                 life=f"{life:x}",
                 answer=answer,
                 status=said.status,
@@ -130,6 +130,6 @@
                 leaves=said.notice.leaves,
                 rest=min(LONGEST_TOLD, said.notice.rest),
                 until=0.0 if rest is None else round(min(LONGEST_TOLD, rest.until), 3),
-                odd=said.notice.odd[:TOLD_CHARACTERS],
+                odd=said.notice.odd[:MAX_LOGGED_CHARACTERS],
             )
         )
--- a/pondpin/relay/upstreams/leases.py
+++ b/pondpin/relay/upstreams/leases.py
@@ -13,7 +13,7 @@
 from pondpin.relay.log import EventLog
 from pondpin.relay.log_events import LeasesEnded
 from pondpin.relay.ports import Hear, LeaseAnswer, LeasePort, PartPlace
-from pondpin.relay.upstreams.hearing import Asked, Listener, deaf
+from pondpin.relay.upstreams.hearing import HeadHandler, SentRequest, ignore_head
 
 # A dead holder's memory is free again after this: under the 4 s that the deployments allow.
 HOLD_SECONDS = 3.4
@@ -25,7 +25,7 @@
 # is forecast to be read for longer has a quarter more and a second.
 UNUSED_SECONDS = 8.2
 READING_TIMES = 1.25
-READING_SLACK_SECONDS = 1.0
+PREFILL_SLACK_SECONDS = 1.0
 RELEASE_TRIES = 3
 
 
@@ -38,7 +38,7 @@
     tokens: int
 
 
-class Leases:
+class LeaseManager:
     """Takes, renews and returns groups of leases."""
 
     def __init__(
@@ -47,7 +47,7 @@
         prefix: str,
         log: EventLog,
         has_ended: Callable[[int], bool] = lambda life: False,
-        listen: Listener = deaf,
+        listen: HeadHandler = ignore_head,
         note_sent: Callable[[int], None] = lambda life: None,
     ) -> None:
         """has_ended: whether a later life has taken the place of a life; note_sent: something goes
@@ -63,7 +63,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self.orders = 0
 
-    async def take(
+    async def acquire(
         self, request: str, places: Sequence[PartPlace], tokens: int
     ) -> tuple[LeaseGroup | None, tuple[PartPlace, ...]]:
         """Lease tokens at every place, or at none; also the places that did not give it."""
@@ -79,13 +79,15 @@
         self.release(group)
         return None, failed
 
-    async def keep(self, group: LeaseGroup, reading: float, has_begun: Callable[[], bool]) -> None:
+    async def keep_alive(
+        self, group: LeaseGroup, reading: float, has_begun: Callable[[], bool]
+    ) -> None:
         """Renew until cancelled, or until the prompt should long have begun its answer.
 
         reading: the forecast of its first event in seconds; has_begun: whether that came.
         """
         now = asyncio.get_running_loop().time
-        limit = now() + max(UNUSED_SECONDS, READING_TIMES * reading + READING_SLACK_SECONDS)
+        limit = now() + max(UNUSED_SECONDS, READING_TIMES * reading + PREFILL_SLACK_SECONDS)
         while True:
             await asyncio.sleep(RENEW_SECONDS)
             hold = HOLD_SECONDS if has_begun() else min(HOLD_SECONDS, limit - now())
@@ -105,7 +107,7 @@
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def settle(self) -> None:
+    async def wait_released(self) -> None:
         """Wait until what is being given back is back or lapses."""
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
@@ -128,7 +130,7 @@
 
     def _hear(self, place: PartPlace) -> Hear:
         asked_at = asyncio.get_running_loop().time()
-        asked = Asked(place.upstream, place.life, "lease", asked_at)
+        asked = SentRequest(place.upstream, place.life, "lease", asked_at)
         return lambda said: self._listen(asked, said)
 
     async def _release(self, group: LeaseGroup, place: PartPlace) -> None:
--- a/pondpin/relay/upstreams/probe.py
+++ b/pondpin/relay/upstreams/probe.py
@@ -43,13 +43,13 @@
         """Probe those that are due, at the same time."""
         now = self._clock()
         configuration = self._publication.configuration
-        due = [state for state in self._table.by_id.values() if is_due(state, now)]
+        due = [state for state in self._table.by_id.values() if is_probe_due(state, now)]
         due += [state for state in self._shut() if state not in due]
         if configuration is not None and due:
             await self._prober().probe(due, configuration)
 
 
-def is_due(state: UpstreamState, now: float) -> bool:
+def is_probe_due(state: UpstreamState, now: float) -> bool:
     """Whether an ejected upstream may be probed."""
     is_silent = state.bar(now) in (Bar.LEAVES, Bar.RESTS)
     return state.needs_probe and not is_silent and not state.health.is_ejected(now)
--- a/pondpin/relay/upstreams/prober.py
+++ b/pondpin/relay/upstreams/prober.py
@@ -10,7 +10,7 @@
 from pondpin.relay.log_events import UpstreamBack
 from pondpin.relay.model import RelayConfiguration
 from pondpin.relay.ports import LivenessPort
-from pondpin.relay.upstreams.hearing import LIVENESS_CHECK, Asked, Listener
+from pondpin.relay.upstreams.hearing import LIVENESS_CHECK, HeadHandler, SentRequest
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.standing import Bar
@@ -25,10 +25,10 @@
 
     table: UpstreamTable
     port: LivenessPort
-    listen: Listener
+    on_head: HeadHandler
     log: EventLog
     clock: Clock
-    note_sent: Callable[[UpstreamState], None]
+    on_sent: Callable[[UpstreamState], None]
 
     async def probe(self, due: Iterable[UpstreamState], configuration: RelayConfiguration) -> None:
         """Probe some upstreams at the same time."""
@@ -38,22 +38,22 @@
         service = configuration.services_by_name.get(state.listed.service)
         if service is None:
             return
-        self.note_sent(state)
+        self.on_sent(state)
         listed = state.listed
-        asked = Asked(listed.id, listed.life, LIVENESS_CHECK, self.clock())
+        asked = SentRequest(listed.id, listed.life, LIVENESS_CHECK, self.clock())
         try:
             passed = await self.port.is_well(
                 listed.host,
                 listed.port,
                 service.health_path,
                 PROBE_SECONDS,
-                lambda said: self.listen(asked, said),
+                lambda said: self.on_head(asked, said),
             )
         except CallFailedError:
             passed = False
         if passed:
-            state.note_probe_passed()
+            state.record_probe_passed()
             self.log.write(UpstreamBack(upstream=state.id))
         elif state.needs_probe and state.bar(self.clock()) is Bar.NONE:
             # One that leaves or asked for rest is not ill.
-            self.table.note_failure(state, self.clock(), certain=True)
+            self.table.record_failure(state, self.clock(), certain=True)
--- a/pondpin/relay/upstreams/reports.py
+++ b/pondpin/relay/upstreams/reports.py
@@ -9,18 +9,18 @@
 from pondpin.relay.log_events import UpstreamAsked
 from pondpin.relay.model import EngineReport
 from pondpin.relay.ports import ReportPort
-from pondpin.relay.upstreams.hearing import Asked, Listener, deaf
+from pondpin.relay.upstreams.hearing import HeadHandler, SentRequest, ignore_head
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.standing import Bar
 
 # A report takes no slot and is sent at once: a way there and back takes a few ms, a lost
 # packet is sent again after a quarter of a second or so.
-ASK_SECONDS = 0.3
+REPORT_TIMEOUT_SECONDS = 0.3
 # What one request learnt counts for the others that wait for the same engine.
-KEPT_SECONDS = 0.3
+REPORT_CACHE_SECONDS = 0.3
 
 
-class Reports:
+class ReportClient:
     """Reports of engines, asked for when they are silent; requests share them."""
 
     def __init__(
@@ -28,7 +28,7 @@
         port: ReportPort,
         log: EventLog,
         clock: Clock,
-        listen: Listener = deaf,
+        listen: HeadHandler = ignore_head,
         note_sent: Callable[[UpstreamState], None] = lambda state: None,
     ) -> None:
         """note_sent: something goes to an engine that counts for a limit of it."""
@@ -39,14 +39,14 @@
         self._clock = clock
         self._tasks_by_life: dict[int, asyncio.Task[EngineReport | None]] = {}
 
-    async def ask(self, state: UpstreamState) -> bool:
+    async def query_status(self, state: UpstreamState) -> bool:
         """Whether an engine answers now, or did a moment ago.
 
         One that asked for rest is not asked: it spoke, and wants nothing until its rest is over.
         """
         if state.bar(self._clock()) is Bar.RESTS:
             return True
-        if self._clock() - state.report_at < KEPT_SECONDS:
+        if self._clock() - state.report_at < REPORT_CACHE_SECONDS:
             return True
         task = self._tasks_by_life.get(state.life)
         if task is None:
@@ -57,7 +57,7 @@
 
     async def _read(self, state: UpstreamState) -> EngineReport | None:
         listed = state.listed
-        asked = Asked(listed.id, listed.life, "report", self._clock())
+        asked = SentRequest(listed.id, listed.life, "report", self._clock())
         self._note_sent(state)
         reason = ""
         report = None
@@ -65,7 +65,7 @@
             report = await self._port.read_report(
                 listed.host,
                 listed.port,
-                ASK_SECONDS,
+                REPORT_TIMEOUT_SECONDS,
                 lambda said: self._listen(asked, said),
             )
         except CallFailedError as error:
@@ -76,7 +76,7 @@
             report, reason = None, f"another life, from {born}"
         if report is not None:
             state.report, state.report_at = report, self._clock()
-            state.heard_at = state.report_at
+            state.last_seen_at = state.report_at
         self._log.write(
             UpstreamAsked(
                 upstream=state.id,
--- a/pondpin/relay/upstreams/restarts.py
+++ b/pondpin/relay/upstreams/restarts.py
@@ -9,7 +9,7 @@
 MILLISECONDS = 1000.0
 
 
-def record_restart(
+def handle_restart(
     restart: Restart, table: UpstreamTable, http: HttpClient, log: EventLog, now: float
 ) -> None:
     """Drop idle connections of the earlier life, which may have crashed silently."""
--- a/pondpin/relay/upstreams/state.py
+++ b/pondpin/relay/upstreams/state.py
@@ -8,24 +8,24 @@
 
 from pondpin.health import Health, note_success
 from pondpin.relay.model import EngineReport, ListedUpstream, Load
-from pondpin.relay.upstreams.forecast import EngineLoad, Pending, Writers
+from pondpin.relay.upstreams.forecast import DecodeStreams, EngineLoad, PendingPrefill
 from pondpin.relay.upstreams.work import (
-    HUNDREDTHS,
-    MILLISECONDS,
+    MS_PER_SECOND,
+    WEIGHT_SCALE,
+    DecodeStreamsDigest,
     PeerWork,
-    Read,
-    ReadDigest,
+    Prefill,
+    PrefillDigest,
     Work,
     WorkDigest,
-    WritersDigest,
-    add_writers,
-    long_reads_end,
-    reads_end,
+    add_decode_streams,
+    long_prefills_end,
+    prefills_end,
 )
 from pondpin.standing import Bar, Standing
 
 if TYPE_CHECKING:
-    from pondpin.relay.upstreams.long_reads import HeardRead
+    from pondpin.relay.upstreams.long_reads import ReceivedPrefill
 
 # What an upstream told of its load in an answer counts for so many seconds.
 TOLD_LOAD_SECONDS = 0.5
@@ -49,14 +49,14 @@
     rate: float = 0.0
     noted_at: float = 0.0
 
-    def at(self, now: float) -> float:
+    def current(self, now: float) -> float:
         """The share as it counts now."""
         age = max(0.0, now - self.noted_at)
         return self.rate * float(0.5 ** (age / FAILURE_HALF_LIFE_SECONDS))
 
-    def note(self, failed: bool, now: float) -> "FailureRate":
+    def record(self, failed: bool, now: float) -> "FailureRate":
         """Count a request."""
-        rate = self.at(now)
+        rate = self.current(now)
         return FailureRate(rate + FAILURE_WEIGHT * (float(failed) - rate), now)
 
 
@@ -72,21 +72,21 @@
     # What its life said of itself; other states of the same life share it.
     standing: Standing = field(default_factory=Standing)
     ended: bool = False
-    watches_silence: bool = True
+    detects_silence: bool = True
     health: Health = field(default_factory=Health)
     needs_probe: bool = False
     probing: bool = False
     suspected_until: float = 0.0
-    failing: FailureRate = field(default_factory=lambda: FailureRate())
-    told: Load | None = None
-    told_at: float = 0.0
-    heard_at: float = 0.0
+    failure_rate: FailureRate = field(default_factory=lambda: FailureRate())
+    reported_load: Load | None = None
+    reported_load_at: float = 0.0
+    last_seen_at: float = 0.0
     report: EngineReport | None = None
     report_at: float = float("-inf")
     work_by_key: dict[int, Work] = field(default_factory=dict)
     peer_work_by_instance: dict[str, PeerWork] = field(default_factory=dict)
     # Parts of long prompts that instances told of which may be in no digest here.
-    heard_by_group: "dict[int, HeardRead]" = field(default_factory=dict)
+    peer_prefills_by_group: "dict[int, ReceivedPrefill]" = field(default_factory=dict)
 
     @property
     def id(self) -> str:
@@ -117,13 +117,13 @@
 
     def bar(self, now: float) -> Bar:
         """Why nothing new may be sent there by its own word, or the list's that it leaves."""
-        return self.standing.bar(now, self.open_here if self.standing.rest is not None else 0)
+        return self.standing.bar(now, self.own_in_flight if self.standing.rest is not None else 0)
 
-    def usable(self, now: float) -> bool:
+    def is_usable(self, now: float) -> bool:
         """Whether new work may go there."""
-        return not self.bar(now) and self.looks_well(now)
+        return not self.bar(now) and self.looks_healthy(now)
 
-    def looks_well(self, now: float) -> bool:
+    def looks_healthy(self, now: float) -> bool:
         """Whether it is neither ejected nor suspected; of all that aren't some are used all the
         same.
         """
@@ -133,26 +133,26 @@
 
     def in_flight(self, now: float) -> int:
         """Requests there, of this instance and of peers; what it told itself may be more."""
-        known = self.open_here + sum(item.work.in_flight for item in self._peer_work(now))
-        if self.told is not None and now - self.told_at < TOLD_LOAD_SECONDS:
-            return max(known, self.told.running + self.told.waiting)
+        known = self.own_in_flight + sum(item.work.in_flight for item in self._peer_work(now))
+        if self.reported_load is not None and now - self.reported_load_at < TOLD_LOAD_SECONDS:
+            return max(known, self.reported_load.running + self.reported_load.waiting)
         return known
 
     def is_busy(self, now: float) -> bool:
         """Whether an engine's silence is explained by what it is known to do."""
         load = self.load(now)
-        if load.long_until > 0 or load.in_flight > self.listed.slots:
+        if load.long_prefill_seconds > 0 or load.in_flight > self.listed.slots:
             return True
         return self.report is not None and self.report.waiting > 0
 
     @property
-    def open_here(self) -> int:
+    def own_in_flight(self) -> int:
         """Requests of this instance there, each on a connection of its own."""
-        return sum(1 for work in self.work_by_key.values() if work.writes)
+        return sum(1 for work in self.work_by_key.values() if work.decodes)
 
     def light_in_flight(self, now: float) -> int:
         """Light streams there."""
-        own = sum(1 for work in self.work_by_key.values() if work.light and work.writes)
+        own = sum(1 for work in self.work_by_key.values() if work.light and work.decodes)
         return own + sum(item.work.light for item in self._peer_work(now))
 
     def load(self, now: float) -> EngineLoad:
@@ -161,104 +161,106 @@
         sums: dict[int, tuple[int, float]] = {}
         for work in self.work_by_key.values():
             tokens += work.tokens
-            if work.writes and work.first_event:
-                add_writers(sums, round(work.gap_target * MILLISECONDS), 1, work.worth)
+            if work.decodes and work.has_first_event:
+                add_decode_streams(sums, round(work.gap_target * MS_PER_SECOND), 1, work.weight)
         for item in self._peer_work(now):
             tokens += item.work.tokens
-            for told in item.work.writers:
-                add_writers(sums, told.gap_target, told.count, told.worth / HUNDREDTHS)
+            for told in item.work.decode_streams:
+                add_decode_streams(sums, told.gap_target, told.count, told.weight / WEIGHT_SCALE)
         writers = tuple(
-            Writers(gap / MILLISECONDS, count, worth) for gap, (count, worth) in sums.items()
+            DecodeStreams(gap / MS_PER_SECOND, count, worth) for gap, (count, worth) in sums.items()
         )
         reads = self._reads(now)
-        end = max(now, reads_end(reads))
+        end = max(now, prefills_end(reads))
         return EngineLoad(
             in_flight=self.in_flight(now),
-            reading=max(end - now, self.overdue(reads, now)),
+            prefill_seconds=max(end - now, self.unexplained_silence(reads, now)),
             pending=tuple(
-                Pending(end - read.since, read.target, read.worth, read.group, read.parts)
+                PendingPrefill(end - read.since, read.target, read.weight, read.group, read.parts)
                 for read in reads
             ),
             tokens=tokens,
-            writers=writers,
-            long_until=long_reads_end(reads, end, now) - now,
+            decode_streams=writers,
+            long_prefill_seconds=long_prefills_end(reads, end, now) - now,
         )
 
-    def overdue(self, reads: Sequence[Read], now: float) -> float:
+    def unexplained_silence(self, reads: Sequence[Prefill], now: float) -> float:
         """Seconds for which a stream here has been silent past what is known to be read.
 
         Something unheard is read there, probably for as long again. Known here of own streams and
         of what peers said of theirs a moment ago; a part of a prompt may be read and its stream
         still wait for other parts, so parts tell nothing.
         """
-        if not self.watches_silence:
+        if not self.detects_silence:
             return 0.0
         longest = 0.0
-        if any(work.is_silent for work in self.work_by_key.values()):
-            longest = now - reads_end(reads) - OWN_SILENCE_SECONDS
+        if any(work.awaits_first_event for work in self.work_by_key.values()):
+            longest = now - prefills_end(reads) - OWN_SILENCE_SECONDS
         for item in self._peer_work(now):
-            if now - item.at > PEER_SILENCE_COUNTS_SECONDS:
+            if now - item.made_at > PEER_SILENCE_COUNTS_SECONDS:
                 continue
-            for read in item.work.reads:
+            for read in item.work.prefills:
                 if read.parts == 1:
-                    silent = (read.age - read.length) / MILLISECONDS
+                    silent = (read.age - read.duration) / MS_PER_SECOND
                     longest = max(longest, silent - PEER_SILENCE_SECONDS)
         return min(MOST_SILENCE_SECONDS, longest)
 
-    def reads_until(self, now: float) -> float:
+    def prefill_end(self, now: float) -> float:
         """When the reading that is known of should be over."""
-        return reads_end(self._reads(now))
+        return prefills_end(self._reads(now))
 
-    def _reads(self, now: float) -> list[Read]:
-        reads = [work.read for work in self.work_by_key.values() if not work.first_event]
+    def _reads(self, now: float) -> list[Prefill]:
+        reads = [work.prefill for work in self.work_by_key.values() if not work.has_first_event]
         for item in self._peer_work(now):
             reads += [
-                Read(
-                    item.at - read.age / MILLISECONDS,
-                    read.length / MILLISECONDS,
-                    read.target / MILLISECONDS,
-                    read.worth / HUNDREDTHS,
+                Prefill(
+                    item.made_at - read.age / MS_PER_SECOND,
+                    read.duration / MS_PER_SECOND,
+                    read.target / MS_PER_SECOND,
+                    read.weight / WEIGHT_SCALE,
                     read.group,
                     read.parts,
                 )
-                for read in item.work.reads
+                for read in item.work.prefills
             ]
-        if self.heard_by_group:
+        if self.peer_prefills_by_group:
             known = {read.group for read in reads}
-            reads += [heard.read for heard in self._heard(now) if heard.read.group not in known]
+            reads += [
+                heard.prefill for heard in self._heard(now) if heard.prefill.group not in known
+            ]
         return reads
 
-    def _heard(self, now: float) -> "list[HeardRead]":
-        return [heard for heard in self.heard_by_group.values() if now < heard.until]
+    def _heard(self, now: float) -> "list[ReceivedPrefill]":
+        return [heard for heard in self.peer_prefills_by_group.values() if now < heard.expires_at]
 
     def _unknown_tokens(self, now: float) -> int:
         """Memory held by long prompts that no digest has told of."""
-        if not self.heard_by_group:
+        if not self.peer_prefills_by_group:
             return 0
         known = {work.group for work in self.work_by_key.values()}
         for item in self._peer_work(now):
-            known |= {read.group for read in item.work.reads}
+            known |= {read.group for read in item.work.prefills}
         heard = self._heard(now)
-        return sum(item.tokens for item in heard if item.read.group not in known)
+        return sum(item.tokens for item in heard if item.prefill.group not in known)
 
-    def note_success(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         """It answered."""
         self.health = note_success(self.health, now)
-        self.failing = self.failing.note(False, now)
+        self.failure_rate = self.failure_rate.record(False, now)
 
-    def note_probe_passed(self) -> None:
+    def record_probe_passed(self) -> None:
         """It was ejected and answered its liveness check."""
         self.needs_probe = False
         self.health = replace(self.health, failures=0)
 
-    def note_read(self, key: int, now: float) -> None:
+    def record_prefill_end(self, key: int, now: float) -> None:
         """A reading is through: those behind it can't have begun before."""
         done = self.work_by_key.get(key)
-        if done is None or done.first_event:
+        if done is None or done.has_first_event:
             return
-        done.first_event = True
+        done.has_first_event = True
         for work in self.work_by_key.values():
-            if not work.first_event and work.since < now:
+            if not work.has_first_event and work.since < now:
                 work.since = now
 
     def digest(self, now: float) -> WorkDigest | None:
@@ -267,38 +269,38 @@
             return None
         sums: dict[int, tuple[int, float]] = {}
         for work in self.work_by_key.values():
-            if work.writes and work.first_event:
-                add_writers(sums, round(work.gap_target * MILLISECONDS), 1, work.worth)
+            if work.decodes and work.has_first_event:
+                add_decode_streams(sums, round(work.gap_target * MS_PER_SECOND), 1, work.weight)
         works = self.work_by_key.values()
         return WorkDigest(
             life=self.life,
-            in_flight=sum(1 for work in works if work.writes),
-            light=sum(1 for work in works if work.writes and work.light),
+            in_flight=sum(1 for work in works if work.decodes),
+            light=sum(1 for work in works if work.decodes and work.light),
             tokens=sum(work.tokens for work in works),
-            reads=tuple(
-                ReadDigest(
-                    round((now - work.since) * MILLISECONDS),
-                    round(work.reading * MILLISECONDS),
-                    round(work.target * MILLISECONDS),
-                    round(work.worth * HUNDREDTHS),
+            prefills=tuple(
+                PrefillDigest(
+                    round((now - work.since) * MS_PER_SECOND),
+                    round(work.prefill_seconds * MS_PER_SECOND),
+                    round(work.target * MS_PER_SECOND),
+                    round(work.weight * WEIGHT_SCALE),
                     work.group,
                     work.parts,
                 )
                 for work in works
-                if not work.first_event
+                if not work.has_first_event
             ),
-            writers=tuple(
-                WritersDigest(gap, count, round(worth * HUNDREDTHS))
+            decode_streams=tuple(
+                DecodeStreamsDigest(gap, count, round(worth * WEIGHT_SCALE))
                 for gap, (count, worth) in sums.items()
             ),
         )
 
     def _peer_work(self, now: float) -> list[PeerWork]:
         items = self.peer_work_by_instance.values()
-        return [item for item in items if now < item.until]
+        return [item for item in items if now < item.expires_at]
 
 
-def release_of(state: UpstreamState) -> int:
+def release_id(state: UpstreamState) -> int:
     """A number for the software that an upstream runs; 0 when it doesn't say."""
     release = state.listed.release
     return xxhash.xxh32_intdigest(release.encode()) if release else 0
--- a/pondpin/relay/upstreams/table.py
+++ b/pondpin/relay/upstreams/table.py
@@ -10,20 +10,20 @@
 from pondpin.health import note_failure
 from pondpin.relay.mechanisms import Mechanism
 from pondpin.relay.model import ListedUpstream, life_of
-from pondpin.relay.upstreams.center_loads import CenterLoad, CenterLoads
-from pondpin.relay.upstreams.state import FAILING_RATE, UpstreamState, release_of
+from pondpin.relay.upstreams.center_loads import DataCenterLoad, DataCenterLoads
+from pondpin.relay.upstreams.state import FAILING_RATE, UpstreamState, release_id
 from pondpin.relay.upstreams.work import PeerWork, WorkDigest
 from pondpin.standing import KEPT_LIVES, Standings
 
 if TYPE_CHECKING:
-    from pondpin.relay.upstreams.long_reads import LongRead
+    from pondpin.relay.upstreams.long_reads import LongPrefill
 
 # A peer's word on its work counts for so many seconds; digests come several times a second.
 PEER_LOAD_SECONDS = 1.5
 # It is summed up anew after this: a twentieth of the time that it counts elsewhere.
 OWN_LOAD_SECONDS = 0.1
 # An upstream that was heard this lately proves that its data centre can be reached.
-HEARD_SECONDS = 0.6
+SEEN_SECONDS = 0.6
 # Of more leaving lives than a digest holds others are told each second.
 TURN_SECONDS = 1.0
 # Ended lives that are remembered for as long as requests that they had may hold leases.
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ListNews:
+class ListChanges:
     """What a reading of the list tells: ids that newly leave or are gone, and later lives."""
 
     leaving: tuple[str, ...]
@@ -66,20 +66,20 @@
         # The listed ones of them as they are told, None when that is to be worked out anew.
         self._leaving_told: tuple[int, ...] | None = None
         self.standings: Standings[int] = Standings(lambda life: life in self._by_life)
-        self.silent_centers: frozenset[str] = frozenset()
+        self.silent_data_centers: frozenset[str] = frozenset()
         # In a large fleet only the peers of the own data centre tell of their work.
-        self.peers_tell_all = True
-        self.center_loads = CenterLoads(data_center)
-        self._own_loads: tuple[CenterLoad, ...] = ()
+        self.all_peers_report_work = True
+        self.data_center_loads = DataCenterLoads(data_center)
+        self._own_loads: tuple[DataCenterLoad, ...] = ()
         self._own_loads_at = float("-inf")
         # The parts that a peer's last word on its long prompts named: lives and groups.
         self._heard_by_peer: dict[str, tuple[tuple[int, int], ...]] = {}
         # The lives that a peer's last digest named.
         self._lives_by_peer: dict[str, tuple[int, ...]] = {}
 
-    def take_list(
+    def apply_list(
         self, listed: Iterable[ListedUpstream], missing: Iterable[str], now: float = 0.0
-    ) -> ListNews:
+    ) -> ListChanges:
         """Take a reading of the list."""
         leaving: list[str] = []
         restarted: list[Restart] = []
@@ -100,7 +100,7 @@
             if item.leaving and self.mark_leaving(known.life, "list", now):
                 leaving.append(item.id)
         self._sort()
-        return ListNews(tuple(leaving), tuple(restarted))
+        return ListChanges(tuple(leaving), tuple(restarted))
 
     def _end(self, state: UpstreamState) -> None:
         """A later life has taken the place of this one."""
@@ -116,7 +116,7 @@
             item,
             order,
             self.standings.of(item.life),
-            watches_silence=Mechanism.SILENCE not in self._without,
+            detects_silence=Mechanism.SILENCE not in self._without,
         )
         self.by_id[item.id] = state
         self._by_life[state.life] = state
@@ -141,7 +141,7 @@
         """Whether a life that was listed has had its place taken by a later one."""
         return life in self._ended
 
-    def life_named(self, name: str) -> int:
+    def life_of_id(self, name: str) -> int:
         """The life that goes by an id: the listed one, or one that doesn't say when it began."""
         known = self.by_id.get(name)
         return life_of(name, None) if known is None else known.life
@@ -154,7 +154,7 @@
         """Whether a life is listed and doesn't leave: if it ends now, that is not planned."""
         return self._by_life.get(state.life) is state and not state.leaving
 
-    def name_of(self, life: int) -> str:
+    def label_of(self, life: int) -> str:
         """The id of a listed life, for logs; of another one its number."""
         state = self._by_life.get(life)
         return f"life {life:x}" if state is None else state.id
@@ -165,7 +165,7 @@
         """
         return self._leaving_listed()[:most]
 
-    def leaving_by_turns(self, most: int, now: float) -> tuple[int, ...]:
+    def rotated_leaving(self, most: int, now: float) -> tuple[int, ...]:
         """As newest_leaving; of more than can be told half are others at each turn, so that all are
         told to an instance that starts: 100 lives in 6 s.
         """
@@ -185,7 +185,7 @@
         return self._leaving_told
 
     @property
-    def left(self) -> frozenset[int]:
+    def leaving_lives(self) -> frozenset[int]:
         """Lives that are known to leave."""
         return frozenset(self._left)
 
@@ -193,7 +193,7 @@
         """The upstreams of a service, in the order that all instances share."""
         return [self.by_id[name] for name in self._ids_by_service.get(service, ())]
 
-    def usable(
+    def candidates(
         self,
         service: str,
         now: float,
@@ -213,30 +213,30 @@
             or (not item.bar(now) and (not item.is_limited or may_take(item)))
         ]
         fresh = [item for item in present if item.life not in tried] if tried else present
-        good = [item for item in fresh if item.looks_well(now)]
+        good = [item for item in fresh if item.looks_healthy(now)]
         cut = self._cut_centers(now)
         near = [item for item in good if item.listed.data_center not in cut] or good
         if Mechanism.FAILING_RATE in self._without:
             return near or fresh
-        sound = [item for item in near if item.failing.at(now) < FAILING_RATE]
+        sound = [item for item in near if item.failure_rate.current(now) < FAILING_RATE]
         return sound or near or fresh
 
-    def is_cut(self, state: UpstreamState, now: float) -> bool:
+    def is_partitioned(self, state: UpstreamState, now: float) -> bool:
         """Whether an upstream is probably out of reach with its whole data centre."""
         return state.listed.data_center in self._cut_centers(now)
 
     def _cut_centers(self, now: float) -> set[str]:
         """Silent data centres none of whose upstreams was heard lately."""
-        if not self.silent_centers:
+        if not self.silent_data_centers:
             return set()
         heard = {
             item.listed.data_center
             for item in self.by_id.values()
-            if now - item.heard_at <= HEARD_SECONDS
+            if now - item.last_seen_at <= SEEN_SECONDS
         }
-        return set(self.silent_centers - heard)
+        return set(self.silent_data_centers - heard)
 
-    def take_peer_work(
+    def update_peer_work(
         self, instance: str, works: Iterable[WorkDigest], at: float, until: float
     ) -> None:
         """Take a peer's work, good until until; what it does not name is idle."""
@@ -255,39 +255,41 @@
         if lives:
             self._lives_by_peer[instance] = tuple(lives)
 
-    def take_long_reads(self, instance: str, reads: "Iterable[LongRead]", now: float) -> None:
+    def update_long_prefills(
+        self, instance: str, reads: "Iterable[LongPrefill]", now: float
+    ) -> None:
         """Take an instance's word on its long prompts; those it names no more are over."""
-        from pondpin.relay.upstreams.long_reads import heard_read
+        from pondpin.relay.upstreams.long_reads import received_prefill
 
         if self._without & {Mechanism.PEER_LOADS, Mechanism.LONG_READS}:
             return
         for life, group in self._heard_by_peer.pop(instance, ()):
             known = self._by_life.get(life)
             if known is not None:
-                known.heard_by_group.pop(group, None)
+                known.peer_prefills_by_group.pop(group, None)
         parts = []
         for told in reads:
-            heard = heard_read(told, now)
+            heard = received_prefill(told, now)
             for life in told.lives:
                 state = self._by_life.get(life)
                 if state is not None:
-                    state.heard_by_group[told.group] = heard
+                    state.peer_prefills_by_group[told.group] = heard
                     parts.append((life, told.group))
         if parts:
             self._heard_by_peer[instance] = tuple(parts)
 
-    def own_long_reads(self, now: float) -> "tuple[LongRead, ...]":
+    def own_long_prefills(self, now: float) -> "tuple[LongPrefill, ...]":
         """The long prompts of this instance that are being read."""
-        from pondpin.relay.upstreams.long_reads import tell_reads
+        from pondpin.relay.upstreams.long_reads import collect_long_prefills
 
         works = (
             (state.life, work)
             for state in self.by_id.values()
             for work in state.work_by_key.values()
         )
-        return tell_reads(works, now)
+        return collect_long_prefills(works, now)
 
-    def own_center_loads(self, now: float) -> tuple[CenterLoad, ...]:
+    def own_data_center_loads(self, now: float) -> tuple[DataCenterLoad, ...]:
         """The load of the own data centre's upstreams, by service, as a moment ago.
 
         Peers of other data centres ask for it some 15 times a second in a fleet of 195.
@@ -297,7 +299,7 @@
             self._own_loads_at = now
         return self._own_loads
 
-    def _sum_own_loads(self, now: float) -> tuple[CenterLoad, ...]:
+    def _sum_own_loads(self, now: float) -> tuple[DataCenterLoad, ...]:
         loads = []
         for service in self._ids_by_service:
             local = [
@@ -309,12 +311,12 @@
             ]
             in_flight = sum(state.in_flight(now) for state in local)
             light = sum(state.light_in_flight(now) for state in local)
-            loads.append(CenterLoad(service, len(local), in_flight, light))
+            loads.append(DataCenterLoad(service, len(local), in_flight, light))
         return tuple(loads)
 
-    def note_failure(self, state: UpstreamState, now: float, certain: bool) -> bool:
+    def record_failure(self, state: UpstreamState, now: float, certain: bool) -> bool:
         """An upstream failed a request; True when that ejects it."""
-        state.failing = state.failing.note(True, now)
+        state.failure_rate = state.failure_rate.record(True, now)
         if Mechanism.EJECTION in self._without:
             return False
         before = state.health.ejections
@@ -323,7 +325,7 @@
         state.needs_probe = state.needs_probe or ejected
         return ejected
 
-    def better_avoided(self, now: float) -> Iterator[tuple[int, float]]:
+    def lives_to_avoid(self, now: float) -> Iterator[tuple[int, float]]:
         """Lives that this instance ejected, or that asked it for rest, and for how much longer.
 
         A rest binds the instance that was asked; others go elsewhere first.
@@ -353,11 +355,11 @@
         }
 
 
-def apart(
+def isolation_candidates(
     states: list[UpstreamState], spent_releases: frozenset[int], now: float
 ) -> list[UpstreamState]:
     """Where a request that may end its upstream hurts the fewest others."""
     if spent_releases:
-        states = [state for state in states if release_of(state) not in spent_releases]
+        states = [state for state in states if release_id(state) not in spent_releases]
     fewest = min((state.in_flight(now) for state in states), default=0)
     return [state for state in states if state.in_flight(now) == fewest]
--- a/pondpin/tests/test_life_watch.py
+++ b/pondpin/tests/test_life_watch.py
@@ -34,7 +34,7 @@
             ListedUpstream(name, "engines", "10.0.0.1", 80, "north", 8, False)
             for name in ("lead", "helper")
         ]
-        table.take_list(listed, [])
+        table.apply_list(listed, [])
         lead, helper = (table.by_id[item.id] for item in listed)
         watch = RunTracker(reach, table, log, clock)
         run = watch.begin(7, (lead, helper), 0.5)
--- a/pondpin/tests/test_relay_crowding.py
+++ b/pondpin/tests/test_relay_crowding.py
@@ -37,8 +37,8 @@
         ]
         self.tables = {center: UpstreamTable(center) for center in CENTERS}
         for table in self.tables.values():
-            table.take_list(listed, [])
-            table.peers_tell_all = False
+            table.apply_list(listed, [])
+            table.all_peers_report_work = False
         self.planners = {
             center: Planner(table, lambda: self.now, random.Random(seed), lambda: None)
             for center, table in self.tables.items()
@@ -68,8 +68,8 @@
         for there, table in self.tables.items():
             for center in CENTERS:
                 if center != there:
-                    loads = self.tables[center].own_center_loads(self.now)
-                    table.center_loads.take(center, loads, self.now)
+                    loads = self.tables[center].own_data_center_loads(self.now)
+                    table.data_center_loads.update(center, loads, self.now)
 
     def place(self, center: str) -> None:
         """One stream arrives at an instance of a data centre."""
--- a/pondpin/tests/test_relay_engines.py
+++ b/pondpin/tests/test_relay_engines.py
@@ -17,17 +17,17 @@
 )
 from pondpin.relay.model import EngineProfile, ListedUpstream, life_of
 from pondpin.relay.upstreams.forecast import (
+    DecodeStreams,
     EngineLoad,
-    Pending,
-    Writers,
-    delays_of_pending,
-    disturbance,
+    PendingPrefill,
+    decode_loss,
     first_event_seconds,
     pass_seconds,
-    read_seconds,
+    prefill_duration,
+    total_delay_loss,
 )
 from pondpin.relay.upstreams.table import PEER_LOAD_SECONDS, UpstreamTable
-from pondpin.relay.upstreams.work import Read, Work, reads_end
+from pondpin.relay.upstreams.work import Prefill, Work, prefills_end
 
 NOW = 1000.0
 PROFILE = EngineProfile(
@@ -43,7 +43,7 @@
     hop=0.0001,
 )
 IDLE = EngineLoad(0, 0.0, (), 0, ())
-CHATS = EngineLoad(4, 0.0, (), 24_000, (Writers(0.2, 4, 5.2),))
+CHATS = EngineLoad(4, 0.0, (), 24_000, (DecodeStreams(0.2, 4, 5.2),))
 SHORT = Job(5000, 1500, 0.3, 0.2, 2.0)
 LONG = Job(210_000, 800, 3.0, 0.8, 12.0)
 HUGE = Job(900_000, 800, 3.0, 0.8, 12.0)
@@ -56,29 +56,31 @@
 class ForecastTest(unittest.TestCase):
     def test_reading_times_of_the_published_figures(self) -> None:
         for tokens, seconds in ((5000, 0.021), (45_000, 0.27), (210_000, 2.84), (10**6, 49.8)):
-            self.assertAlmostEqual(read_seconds(PROFILE, tokens), seconds, delta=seconds * 0.02)
+            self.assertAlmostEqual(prefill_duration(PROFILE, tokens), seconds, delta=seconds * 0.02)
 
     def test_a_pass_with_writers_takes_its_steps(self) -> None:
         self.assertEqual(pass_seconds(PROFILE, IDLE), 0.0)
         self.assertAlmostEqual(pass_seconds(PROFILE, CHATS), 0.0472, delta=0.001)
 
     def test_a_long_part_disturbs_short_writers_only(self) -> None:
-        patient = replace(CHATS, writers=(Writers(0.8, 4, 80.0),))
-        self.assertEqual(disturbance(PROFILE, IDLE, 1.0), 0.0)
-        self.assertAlmostEqual(disturbance(PROFILE, CHATS, 0.5), 5.2)
-        self.assertEqual(disturbance(PROFILE, patient, 0.3), 0.0)
+        patient = replace(CHATS, decode_streams=(DecodeStreams(0.8, 4, 80.0),))
+        self.assertEqual(decode_loss(PROFILE, IDLE, 1.0), 0.0)
+        self.assertAlmostEqual(decode_loss(PROFILE, CHATS, 0.5), 5.2)
+        self.assertEqual(decode_loss(PROFILE, patient, 0.3), 0.0)
 
     def test_a_part_delays_what_is_being_read(self) -> None:
-        waiting = replace(IDLE, reading=1.0, pending=(Pending(1.0, 3.0, 20.0, 1, 2),))
-        self.assertGreater(delays_of_pending([waiting], 2.5), 10.0)
-        self.assertLess(delays_of_pending([waiting], 0.1), 1.0)
-        self.assertEqual(delays_of_pending([IDLE], 2.5), 0.0)
+        waiting = replace(
+            IDLE, prefill_seconds=1.0, pending=(PendingPrefill(1.0, 3.0, 20.0, 1, 2),)
+        )
+        self.assertGreater(total_delay_loss([waiting], 2.5), 10.0)
+        self.assertLess(total_delay_loss([waiting], 0.1), 1.0)
+        self.assertEqual(total_delay_loss([IDLE], 2.5), 0.0)
         # Two parts of one prompt wait together.
-        once = delays_of_pending([waiting], 2.5)
-        self.assertEqual(delays_of_pending([waiting, waiting], 2.5), once)
+        once = total_delay_loss([waiting], 2.5)
+        self.assertEqual(total_delay_loss([waiting, waiting], 2.5), once)
 
     def test_the_lead_waits_for_its_queue_and_helpers_do_not(self) -> None:
-        busy = replace(IDLE, reading=1.0)
+        busy = replace(IDLE, prefill_seconds=1.0)
         as_helper = first_event_seconds(PROFILE, IDLE, [busy], 0.5, 1000)
         as_lead = first_event_seconds(PROFILE, busy, [IDLE], 0.5, 1000)
         self.assertAlmostEqual(as_lead - as_helper, 1.0)
@@ -122,7 +124,7 @@
         self.assertLessEqual(choice.lease_tokens, PROFILE.memory)
 
     def test_a_prompt_that_is_late_anyway_is_still_read_before_its_caller_gives_up(self) -> None:
-        busy = replace(CHATS, writers=(Writers(0.2, 6, 7.8),), in_flight=6)
+        busy = replace(CHATS, decode_streams=(DecodeStreams(0.2, 6, 7.8),), in_flight=6)
         choice = choose_engines(PROFILE, HUGE, views(*[busy] * 18), 100, self.rng)
         assert choice is not None
         self.assertLess(choice.first_event_seconds, HUGE.caller_timeout * 0.8)
@@ -174,54 +176,54 @@
 
 def stream_work(since: float, reading: float = 0.0, first: bool = False) -> Work:
     work = Work(reading, since, 5000, 0.3, 0.2, 1.3, True, True)
-    work.first_event = first
+    work.has_first_event = first
     return work
 
 
 class UpstreamTableTest(unittest.TestCase):
     def setUp(self) -> None:
         self.table = UpstreamTable("north")
-        self.table.take_list([listed("a"), listed("b"), listed("c", "south")], [])
+        self.table.apply_list([listed("a"), listed("b"), listed("c", "south")], [])
 
     def usable(self, now: float = NOW) -> set[str]:
-        return {item.id for item in self.table.usable("engines", now, frozenset())}
+        return {item.id for item in self.table.candidates("engines", now, frozenset())}
 
     def newest_names(self, most: int) -> list[str]:
-        return [self.table.name_of(life) for life in self.table.newest_leaving(most)]
+        return [self.table.label_of(life) for life in self.table.newest_leaving(most)]
 
     def note_failure(self, name: str, now: float, certain: bool = False) -> bool:
-        return self.table.note_failure(self.table.by_id[name], now, certain)
+        return self.table.record_failure(self.table.by_id[name], now, certain)
 
     def test_leaving_is_sticky_whatever_the_list_says_later(self) -> None:
         self.assertTrue(self.table.mark_leaving(life_of("a", None)))
         self.assertFalse(self.table.mark_leaving(life_of("a", None)))
-        self.table.take_list([listed("a"), listed("b"), listed("c", "south")], [])
+        self.table.apply_list([listed("a"), listed("b"), listed("c", "south")], [])
         self.assertEqual(self.usable(), {"b", "c"})
-        self.table.take_list([], ["a"])
-        self.table.take_list([listed("a")], [])
+        self.table.apply_list([], ["a"])
+        self.table.apply_list([listed("a")], [])
         self.assertNotIn("a", self.usable())
 
     def test_the_newest_leavings_are_told_first(self) -> None:
         names = [f"e{number:02}" for number in range(40)]
-        self.table.take_list([listed(name) for name in names], [])
+        self.table.apply_list([listed(name) for name in names], [])
         for name in reversed(names):
             self.table.mark_leaving(life_of(name, None))
         self.assertEqual(self.newest_names(3), ["e00", "e01", "e02"])
-        self.table.take_list([], ["e01"])
+        self.table.apply_list([], ["e01"])
         self.assertEqual(self.newest_names(3), ["e00", "e02", "e03"])
         self.assertEqual(len(self.table.newest_leaving(100)), 39)
 
     def test_those_that_the_list_does_not_tell_are_told_first_and_all_by_turns(self) -> None:
         names = [f"e{number:02}" for number in range(40)]
-        self.table.take_list([listed(name) for name in names], [])
+        self.table.apply_list([listed(name) for name in names], [])
         for name in names:
             self.table.mark_leaving(life_of(name, None))
         draining = [replace(listed(name), leaving=name > "e09") for name in names]
-        self.table.take_list(draining, [])
+        self.table.apply_list(draining, [])
         self.assertEqual(set(self.newest_names(10)), set(names[:10]))
         told: set[int] = set()
         for turn in range(5):
-            part = self.table.leaving_by_turns(16, NOW + turn)
+            part = self.table.rotated_leaving(16, NOW + turn)
             self.assertEqual(len(part), 16)
             told |= set(part)
         self.assertEqual(len(told), 40)
@@ -232,31 +234,31 @@
         self.assertEqual(self.usable(), set())
 
     def test_a_lapsed_entry_may_return(self) -> None:
-        self.table.take_list([listed("b")], ["a", "c"])
+        self.table.apply_list([listed("b")], ["a", "c"])
         self.assertEqual(self.usable(), {"b"})
-        self.table.take_list([listed("a"), listed("b")], [])
+        self.table.apply_list([listed("a"), listed("b")], [])
         self.assertEqual(self.usable(), {"a", "b"})
 
     def test_an_ejected_upstream_waits_for_its_probe(self) -> None:
         self.assertTrue(self.note_failure("a", NOW, certain=True))
         self.assertEqual(self.usable(), {"b", "c"})
         self.assertEqual(self.usable(NOW + 60), {"b", "c"})
-        self.table.by_id["a"].note_probe_passed()
+        self.table.by_id["a"].record_probe_passed()
         self.assertEqual(self.usable(NOW + 60), {"a", "b", "c"})
 
     def test_one_that_fails_half_is_avoided_for_a_while(self) -> None:
         for step in range(20):
             self.note_failure("a", NOW + step * 0.1)
-            self.table.by_id["a"].note_success(NOW + step * 0.1 + 0.05)
+            self.table.by_id["a"].record_success(NOW + step * 0.1 + 0.05)
         after = NOW + 2.0
-        self.assertGreater(self.table.by_id["a"].failing.at(after), 0.4)
+        self.assertGreater(self.table.by_id["a"].failure_rate.current(after), 0.4)
         self.assertEqual(self.usable(after), {"b", "c"})
         self.assertEqual(self.usable(after + 10), {"a", "b", "c"})
 
     def test_one_that_fails_seldom_is_kept(self) -> None:
         for step in range(70):
             if step % 7:
-                self.table.by_id["a"].note_success(NOW + step * 0.1)
+                self.table.by_id["a"].record_success(NOW + step * 0.1)
             else:
                 self.note_failure("a", NOW + step * 0.1)
         self.assertIn("a", self.usable(NOW + 7.0))
@@ -267,38 +269,38 @@
         self.assertEqual(self.usable(), {"a", "b", "c"})
 
     def test_a_silent_data_center_is_avoided_until_one_is_heard(self) -> None:
-        self.table.silent_centers = frozenset(("south",))
+        self.table.silent_data_centers = frozenset(("south",))
         self.assertEqual(self.usable(), {"a", "b"})
-        self.table.by_id["c"].heard_at = NOW - 0.1
+        self.table.by_id["c"].last_seen_at = NOW - 0.1
         self.assertEqual(self.usable(), {"a", "b", "c"})
 
     def test_peers_work_counts_until_it_is_old(self) -> None:
         other = UpstreamTable("south")
-        other.take_list([listed("a")], [])
+        other.apply_list([listed("a")], [])
         other.by_id["a"].work_by_key[1] = stream_work(NOW - 0.5, reading=2.0)
         other.by_id["a"].work_by_key[2] = stream_work(NOW - 0.5, first=True)
         told = other.by_id["a"].digest(NOW)
         assert told is not None
-        self.table.take_peer_work("peer", [told], NOW, NOW + PEER_LOAD_SECONDS)
+        self.table.update_peer_work("peer", [told], NOW, NOW + PEER_LOAD_SECONDS)
         state = self.table.by_id["a"]
         self.assertEqual(state.in_flight(NOW), 2)
         self.assertEqual(state.light_in_flight(NOW), 2)
         load = state.load(NOW)
-        self.assertAlmostEqual(load.reading, 1.5, delta=0.01)
+        self.assertAlmostEqual(load.prefill_seconds, 1.5, delta=0.01)
         self.assertEqual(load.tokens, 10_000)
-        self.assertEqual(load.writers[0].count, 1)
+        self.assertEqual(load.decode_streams[0].count, 1)
         self.assertEqual(state.in_flight(NOW + PEER_LOAD_SECONDS), 0)
-        self.table.take_peer_work("peer", [], NOW, NOW + PEER_LOAD_SECONDS)
+        self.table.update_peer_work("peer", [], NOW, NOW + PEER_LOAD_SECONDS)
         self.assertEqual(state.in_flight(NOW), 0)
 
     def test_reading_is_a_queue(self) -> None:
-        reads = [Read(NOW, 1.0, 3.0, 1.0, 1, 1), Read(NOW + 0.1, 1.0, 3.0, 1.0, 2, 1)]
-        self.assertAlmostEqual(reads_end(reads), NOW + 2.0)
+        reads = [Prefill(NOW, 1.0, 3.0, 1.0, 1, 1), Prefill(NOW + 0.1, 1.0, 3.0, 1.0, 2, 1)]
+        self.assertAlmostEqual(prefills_end(reads), NOW + 2.0)
         state = self.table.by_id["a"]
         state.work_by_key[1] = stream_work(NOW, reading=1.0)
         state.work_by_key[2] = stream_work(NOW, reading=1.0)
-        state.note_read(1, NOW + 1.2)
-        self.assertAlmostEqual(state.load(NOW + 1.2).reading, 1.0)
+        state.record_prefill_end(1, NOW + 1.2)
+        self.assertAlmostEqual(state.load(NOW + 1.2).prefill_seconds, 1.0)
 
 
 if __name__ == "__main__":
--- a/pondpin/tests/test_relay_leases.py
+++ b/pondpin/tests/test_relay_leases.py
@@ -8,7 +8,7 @@
 
 from pondpin.http_streams import CallFailedError
 from pondpin.relay.ports import Hear, LeaseAnswer, PartPlace
-from pondpin.relay.upstreams.leases import HOLD_SECONDS, RENEW_SECONDS, Leases
+from pondpin.relay.upstreams.leases import HOLD_SECONDS, RENEW_SECONDS, LeaseManager
 from pondpin.tests.support import ListLog, run_async
 from pondpin.tools.virtual_time import run_virtual
 
@@ -45,23 +45,23 @@
     def test_all_or_nothing_whatever_engines_say(self, answers: dict[int, str]) -> None:
         async def work() -> None:
             engines = FakeEngines(answers)
-            leases = Leases(engines, "x", ListLog())
-            group, failed = await leases.take("r", PLACES, 1000)
+            leases = LeaseManager(engines, "x", ListLog())
+            group, failed = await leases.acquire("r", PLACES, 1000)
             if group is None:
                 self.assertTrue(failed)
             else:
                 self.assertEqual(len(engines.held), 4)
                 leases.release(group)
-            await leases.settle()
+            await leases.wait_released()
             self.assertEqual(engines.held, set())
 
         run_async(work())
 
     def test_names_are_never_used_twice(self) -> None:
         async def work() -> None:
-            leases = Leases(FakeEngines({}), "x", ListLog())
-            first, _ = await leases.take("r", PLACES, 1000)
-            second, _ = await leases.take("r", PLACES, 1000)
+            leases = LeaseManager(FakeEngines({}), "x", ListLog())
+            first, _ = await leases.acquire("r", PLACES, 1000)
+            second, _ = await leases.acquire("r", PLACES, 1000)
             assert first is not None
             assert second is not None
             names = [place.lease for group in (first, second) for place in group.places]
@@ -92,10 +92,10 @@
                     until = max(until, loop.time() + hold - began)
                     return LeaseAnswer.HELD
 
-            leases = Leases(Engine({}), "x", ListLog())
-            group, _ = await leases.take("r", PLACES[:1], 1000)
+            leases = LeaseManager(Engine({}), "x", ListLog())
+            group, _ = await leases.acquire("r", PLACES[:1], 1000)
             assert group is not None
-            keeping = leases.keep(group, reading, lambda: loop.time() - began >= begins_at)
+            keeping = leases.keep_alive(group, reading, lambda: loop.time() - began >= begins_at)
             keeper = asyncio.ensure_future(keeping)
             await asyncio.sleep(played)
             keeper.cancel()
@@ -119,7 +119,7 @@
         # 4 s are allowed to memory that is set aside for a request that ended.
         self.assertLess(HOLD_SECONDS, 4.0)
         self.assertLess(2 * RENEW_SECONDS, HOLD_SECONDS)
-        self.assertTrue(asyncio.iscoroutinefunction(Leases.keep))
+        self.assertTrue(asyncio.iscoroutinefunction(LeaseManager.keep_alive))
 
 
 if __name__ == "__main__":
--- a/pondpin/tests/test_relay_lifecycle.py
+++ b/pondpin/tests/test_relay_lifecycle.py
@@ -209,7 +209,8 @@
             platform.list_worker("plain-0", PLAIN, place, "north", "draining")
             await platform.until(
                 lambda: all(
-                    life_of("plain-0", None) in entry.table.left for entry in platform.entries
+                    life_of("plain-0", None) in entry.table.leaving_lives
+                    for entry in platform.entries
                 )
             )
             worker.seen.clear()
@@ -224,12 +225,12 @@
         async def work(platform: LocalPlatform) -> None:
             fail_next(platform, WorkerFault.MISDIRECTED)
             await ask(platform, "once", "own")
-            self.assertEqual(platform.entries[0].table.left, frozenset())
+            self.assertEqual(platform.entries[0].table.leaving_lives, frozenset())
             fail_next(platform, WorkerFault.NONE, 0)
             for name in ("plain-0", "plain-1"):
                 platform.workers_by_id[name].id = f"new-{name}"
             await ask(platform, "once", "other")
-            self.assertEqual(len(platform.entries[0].table.left), 1)
+            self.assertEqual(len(platform.entries[0].table.leaving_lives), 1)
             self.assertEqual(runs(platform, "other"), 0)
 
         self.play(work)
--- a/pondpin/tests/test_relay_limit_fleet.py
+++ b/pondpin/tests/test_relay_limit_fleet.py
@@ -60,7 +60,7 @@
         return self.gossip.now
 
     def list_all(self, member: Gossip) -> None:
-        member.table.take_list([item.listed for item in self.upstreams], [])
+        member.table.apply_list([item.listed for item in self.upstreams], [])
 
     def state(self, member: Gossip, upstream: Upstream) -> UpstreamState:
         return member.table.by_id[upstream.listed.id]
--- a/pondpin/tests/test_relay_limit_sight.py
+++ b/pondpin/tests/test_relay_limit_sight.py
@@ -10,8 +10,8 @@
 from pondpin.notices import Notice
 from pondpin.relay.log import EventLog
 from pondpin.relay.model import AnswerHead, ListedUpstream
-from pondpin.relay.upstreams.hearing import REQUEST, Asked, Hearing
-from pondpin.relay.upstreams.limit_hearing import MOST_UNKNOWN_WORDS
+from pondpin.relay.upstreams.hearing import REQUEST, NoticeHandler, SentRequest
+from pondpin.relay.upstreams.limit_hearing import MAX_UNKNOWN_HEADERS
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.tests.support import FakeClock
 
@@ -25,21 +25,21 @@
         self.log = EventLog("x", self.clock, self.clock, descriptor)
         self.table = UpstreamTable("north")
         listed = ListedUpstream("a", "engines", "10.0.0.1", 80, "north", 8, False)
-        self.table.take_list([listed], [])
+        self.table.apply_list([listed], [])
         self.life = listed.life
         metrics = Metrics("x", "north")
-        self.hearing = Hearing(
+        self.hearing = NoticeHandler(
             self.table, lambda: None, lambda: None, metrics, self.log, self.clock
         )
 
     def hear(self, what: str = REQUEST, words: Any = (), **said: Any) -> None:
         """An answer to what was asked a while after the last one."""
         self.clock.advance(0.1)
-        asked = Asked("a", self.life, what, self.clock())
+        asked = SentRequest("a", self.life, what, self.clock())
         self.clock.advance(0.1)
         notice = Notice(**said)
         head = AnswerHead(200, "a1", False, None, False, True, None, "", notice, (), words)
-        self.hearing.hear(asked, head)
+        self.hearing.handle_head(asked, head)
 
     def lines(self, event: str) -> list[dict[str, Any]]:
         self.log.flush()
@@ -74,11 +74,11 @@
             self.hear(words=(("server-mood", value),))
         told = [(line["name"], line["value"]) for line in self.lines("unknown_word")]
         self.assertEqual(told, [("server-mood", "low")])
-        for number in range(2 * MOST_UNKNOWN_WORDS):
+        for number in range(2 * MAX_UNKNOWN_HEADERS):
             self.clock.advance(1.0)
             self.hear(words=((f"server-{number}", "x" * 500),))
         found = self.lines("unknown_word")
-        self.assertEqual(len(found), MOST_UNKNOWN_WORDS)
+        self.assertEqual(len(found), MAX_UNKNOWN_HEADERS)
         self.assertLessEqual(max(len(line["value"]) for line in found), 80)
 
 
--- a/pondpin/tests/test_relay_lives.py
+++ b/pondpin/tests/test_relay_lives.py
@@ -14,8 +14,8 @@
 from pondpin.relay.model import EngineReport, ListedUpstream, life_of
 from pondpin.relay.ports import Hear, LeaseAnswer, PartPlace
 from pondpin.relay.published.documents import DocumentKind, PublishedItem
-from pondpin.relay.upstreams.leases import RENEW_SECONDS, Leases
-from pondpin.relay.upstreams.reports import Reports
+from pondpin.relay.upstreams.leases import RENEW_SECONDS, LeaseManager
+from pondpin.relay.upstreams.reports import ReportClient
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.relay.upstreams.work import Work
 from pondpin.standins.local_platform import (
@@ -265,42 +265,44 @@
 
     def setUp(self) -> None:
         self.table = UpstreamTable("north")
-        self.table.take_list([listed(FIRST)], [])
+        self.table.apply_list([listed(FIRST)], [])
         self.first = self.table.by_id["a"]
 
     def start_again(self) -> None:
-        news = self.table.take_list([listed(LATER)], [])
+        news = self.table.apply_list([listed(LATER)], [])
         self.assertEqual([item.later.born for item in news.restarted], [LATER])
 
     def test_health_work_and_reports_end_with_a_life(self) -> None:
-        self.table.note_failure(self.first, NOW, certain=True)
+        self.table.record_failure(self.first, NOW, certain=True)
         self.first.work_by_key[1] = reading(NOW)
         self.first.report = EngineReport(8, 8)
         self.start_again()
         state = self.table.by_id["a"]
-        self.assertTrue(state.usable(NOW))
+        self.assertTrue(state.is_usable(NOW))
         self.assertEqual((state.in_flight(NOW), state.report), (0, None))
         self.assertTrue(self.first.ended)
         # What is still open at the earlier life ends there.
-        self.table.note_failure(self.first, NOW, certain=True)
-        self.first.note_read(1, NOW)
-        self.assertTrue(state.usable(NOW))
+        self.table.record_failure(self.first, NOW, certain=True)
+        self.first.record_prefill_end(1, NOW)
+        self.assertTrue(state.is_usable(NOW))
 
     def test_leaving_belongs_to_a_life(self) -> None:
         self.assertTrue(self.table.mark_leaving(life_of("a", FIRST)))
         self.start_again()
-        self.assertEqual([item.id for item in self.table.usable(ENGINES, NOW, frozenset())], ["a"])
+        self.assertEqual(
+            [item.id for item in self.table.candidates(ENGINES, NOW, frozenset())], ["a"]
+        )
         # A peer tells late of the earlier one.
         self.table.mark_leaving(life_of("a", FIRST))
         self.assertFalse(self.table.by_id["a"].leaving)
         # And early of the later one.
         self.table.mark_leaving(life_of("a", LATER + 1))
-        self.table.take_list([listed(LATER + 1)], [])
+        self.table.apply_list([listed(LATER + 1)], [])
         self.assertTrue(self.table.by_id["a"].leaving)
 
     def test_an_earlier_life_does_not_come_back(self) -> None:
         self.start_again()
-        news = self.table.take_list([listed(FIRST, leaving=True)], [])
+        news = self.table.apply_list([listed(FIRST, leaving=True)], [])
         self.assertEqual((news.leaving, news.restarted), ((), ()))
         self.assertEqual(self.table.by_id["a"].listed.born, LATER)
         self.assertFalse(self.table.by_id["a"].leaving)
@@ -310,19 +312,19 @@
         told = self.first.digest(NOW)
         assert told is not None
         self.start_again()
-        self.table.take_peer_work("peer", [told], NOW, NOW + 5)
+        self.table.update_peer_work("peer", [told], NOW, NOW + 5)
         self.table.suspect(life_of("a", FIRST), NOW + 5)
         state = self.table.by_id["a"]
         self.assertEqual(state.in_flight(NOW), 0)
-        self.assertTrue(state.usable(NOW))
+        self.assertTrue(state.is_usable(NOW))
         self.table.suspect(life_of("a", LATER), NOW + 5)
-        self.assertFalse(state.usable(NOW))
+        self.assertFalse(state.is_usable(NOW))
 
     def test_a_request_may_go_to_the_later_life_of_one_it_tried(self) -> None:
         tried = frozenset((self.first.life,))
-        self.assertEqual(self.table.usable(ENGINES, NOW, tried), [])
+        self.assertEqual(self.table.candidates(ENGINES, NOW, tried), [])
         self.start_again()
-        self.assertEqual(len(self.table.usable(ENGINES, NOW, tried)), 1)
+        self.assertEqual(len(self.table.candidates(ENGINES, NOW, tried)), 1)
 
 
 class Engines:
@@ -348,20 +350,20 @@
         ended: set[int] = set()
 
         async def work() -> None:
-            leases = Leases(engines, "x", ListLog(), lambda life: life in ended)
+            leases = LeaseManager(engines, "x", ListLog(), lambda life: life in ended)
             places = (
                 PartPlace("a", "10.0.0.1", 80, life=1),
                 PartPlace("b", "10.0.0.1", 81, life=2),
             )
-            group, _ = await leases.take("r", places, 1000)
+            group, _ = await leases.acquire("r", places, 1000)
             assert group is not None
             ended.add(1)
             engines.orders.clear()
-            keeping = asyncio.ensure_future(leases.keep(group, 1.0, lambda: True))
+            keeping = asyncio.ensure_future(leases.keep_alive(group, 1.0, lambda: True))
             await asyncio.sleep(1.5 * RENEW_SECONDS)
             keeping.cancel()
             leases.release(group)
-            await leases.settle()
+            await leases.wait_released()
 
         run_async(work())
         self.assertEqual(engines.orders, [81, 81])
@@ -378,17 +380,17 @@
         port = Port()
         clock = FakeClock()
         table = UpstreamTable("north")
-        table.take_list([listed(FIRST)], [])
-        reports = Reports(port, ListLog(), clock)
+        table.apply_list([listed(FIRST)], [])
+        reports = ReportClient(port, ListLog(), clock)
         state = table.by_id["a"]
 
         async def work() -> None:
-            self.assertFalse(await reports.ask(state))
+            self.assertFalse(await reports.query_status(state))
             self.assertIsNone(state.report)
             for born in (FIRST, None):
                 port.born = born
                 clock.advance(1.0)
-                self.assertTrue(await reports.ask(state))
+                self.assertTrue(await reports.query_status(state))
 
         run_async(work())
 
@@ -424,7 +426,7 @@
             self.assertEqual((await ask(platform, "stream", "a1", x_token_usage="9,9")).status, 200)
             self.list_again(platform, worker.id, state="draining")
             await wait_until(lambda: table.by_id[worker.id].leaving)
-            table.note_failure(table.by_id[worker.id], NOW, certain=True)
+            table.record_failure(table.by_id[worker.id], NOW, certain=True)
             worker.start_again(LATER)
             self.list_again(platform, worker.id)
             await wait_until(lambda: table.by_id[worker.id].listed.born == LATER)
--- a/pondpin/tests/test_relay_long_reads.py
+++ b/pondpin/tests/test_relay_long_reads.py
@@ -12,11 +12,11 @@
 from pondpin.relay.model import ListedUpstream
 from pondpin.relay.peers.gossip import Gossip
 from pondpin.relay.upstreams.long_reads import (
-    LONG_READS_FORMAT,
-    LongRead,
-    LongReads,
-    decode_long_reads,
-    encode_long_reads,
+    LONG_PREFILLS_FORMAT,
+    LongPrefill,
+    LongPrefills,
+    decode_long_prefills,
+    encode_long_prefills,
 )
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.relay.upstreams.work import Work
@@ -93,7 +93,7 @@
         self.center_by_life = {item.life: item.data_center for item in listed}
         self.planners = []
         for member in self.fleet.members:
-            member.table.take_list(listed, [])
+            member.table.apply_list(listed, [])
             self.planners.append(self._planner(member, seed, Mechanism.LONG_READS in without))
         self.engines = {item.life: Engine(self.fleet.now) for item in listed}
         self.writing: list[tuple[float, int, Request]] = []
@@ -233,8 +233,10 @@
         self.assertLessEqual(rig.late_share(), 0.005)
 
 
-def long_read(*lives: int, group: int = 7, length: int = 2000) -> LongRead:
-    return LongRead(lives, age=100, length=length, target=4000, worth=500, group=group, tokens=90)
+def long_read(*lives: int, group: int = 7, length: int = 2000) -> LongPrefill:
+    return LongPrefill(
+        lives, age=100, duration=length, target=4000, weight=500, group=group, tokens=90
+    )
 
 
 class TellingTest(unittest.TestCase):
@@ -245,72 +247,72 @@
         listed = [
             ListedUpstream(name, "engines", "10.0.0.1", 80, "c0", 8, False) for name in ("a", "b")
         ]
-        self.table.take_list(listed, [])
+        self.table.apply_list(listed, [])
         self.a, self.b = (self.table.by_id[name] for name in ("a", "b"))
 
     def test_what_is_told_counts_until_it_is_over(self) -> None:
-        self.table.take_long_reads("far", [long_read(self.a.life, self.b.life, 99)], NOW)
+        self.table.update_long_prefills("far", [long_read(self.a.life, self.b.life, 99)], NOW)
         load = self.a.load(NOW)
-        self.assertAlmostEqual(load.reading, 1.9)
+        self.assertAlmostEqual(load.prefill_seconds, 1.9)
         self.assertEqual(load.tokens, 90)
-        self.assertGreater(load.long_until, 1.0)
-        self.table.take_long_reads("far", [], NOW + 1)
-        self.assertEqual(self.a.load(NOW + 1).reading, 0.0)
-        self.assertEqual(self.b.heard_by_group, {})
+        self.assertGreater(load.long_prefill_seconds, 1.0)
+        self.table.update_long_prefills("far", [], NOW + 1)
+        self.assertEqual(self.a.load(NOW + 1).prefill_seconds, 0.0)
+        self.assertEqual(self.b.peer_prefills_by_group, {})
 
     def test_an_end_that_is_lost_is_not_waited_for(self) -> None:
-        self.table.take_long_reads("far", [long_read(self.a.life)], NOW)
-        self.assertGreater(self.a.load(NOW + 2.5).long_until, 0.0)
-        self.assertEqual(self.a.load(NOW + 5.0).long_until, 0.0)
+        self.table.update_long_prefills("far", [long_read(self.a.life)], NOW)
+        self.assertGreater(self.a.load(NOW + 2.5).long_prefill_seconds, 0.0)
+        self.assertEqual(self.a.load(NOW + 5.0).long_prefill_seconds, 0.0)
         self.assertEqual(self.a.load(NOW + 5.0).tokens, 0)
 
     def test_what_a_digest_tells_too_counts_once(self) -> None:
-        self.table.take_long_reads("near", [long_read(self.a.life, group=3)], NOW)
+        self.table.update_long_prefills("near", [long_read(self.a.life, group=3)], NOW)
         other = UpstreamTable("c0")
-        other.take_list([self.a.listed], [])
+        other.apply_list([self.a.listed], [])
         work = Work(2.0, NOW - 0.1, 90, 4.0, 1.0, 5.0, False, True, group=3)
         other.by_id["a"].work_by_key[1] = work
         told = other.by_id["a"].digest(NOW)
         assert told is not None
-        self.table.take_peer_work("near", [told], NOW, NOW + 5)
+        self.table.update_peer_work("near", [told], NOW, NOW + 5)
         load = self.a.load(NOW)
-        self.assertAlmostEqual(load.reading, 1.9)
+        self.assertAlmostEqual(load.prefill_seconds, 1.9)
         self.assertEqual((load.tokens, len(load.pending)), (90, 1))
 
     def test_it_speaks_of_one_life(self) -> None:
         earlier = ListedUpstream("a", "engines", "10.0.0.1", 80, "c0", 8, False, born=1)
-        self.table.take_long_reads("far", [long_read(earlier.life)], NOW)
-        self.assertEqual(self.a.load(NOW).reading, 0.0)
+        self.table.update_long_prefills("far", [long_read(earlier.life)], NOW)
+        self.assertEqual(self.a.load(NOW).prefill_seconds, 0.0)
 
     def test_only_what_keeps_light_streams_waiting_is_told(self) -> None:
         self.a.work_by_key[1] = Work(2.0, NOW, 90, 4.0, 1.0, 5.0, False, True, group=1)
         self.b.work_by_key[1] = Work(2.0, NOW, 80, 4.0, 1.0, 5.0, False, False, group=1)
         self.a.work_by_key[2] = Work(0.1, NOW, 90, 4.0, 1.0, 5.0, False, True, group=2)
-        told = self.table.own_long_reads(NOW + 0.5)
+        told = self.table.own_long_prefills(NOW + 0.5)
         self.assertEqual(
             [(set(item.lives), item.age) for item in told], [({self.a.life, self.b.life}, 500)]
         )
-        self.a.note_read(1, NOW + 2)
-        self.b.note_read(1, NOW + 2)
-        self.assertEqual(self.table.own_long_reads(NOW + 2), ())
+        self.a.record_prefill_end(1, NOW + 2)
+        self.b.record_prefill_end(1, NOW + 2)
+        self.assertEqual(self.table.own_long_prefills(NOW + 2), ())
 
     def test_messages_that_are_none(self) -> None:
-        message = LongReads(LONG_READS_FORMAT, "far", 1, 1, (long_read(5),))
-        self.assertEqual(decode_long_reads(encode_long_reads(message)), message)
-        other = LongReads(LONG_READS_FORMAT + 1, "far", 1, 1, ())
-        for data in (encode_long_reads(other), b"", b"\xff", b"\x95" + b"\x01" * 5):
-            self.assertIsNone(decode_long_reads(data))
+        message = LongPrefills(LONG_PREFILLS_FORMAT, "far", 1, 1, (long_read(5),))
+        self.assertEqual(decode_long_prefills(encode_long_prefills(message)), message)
+        other = LongPrefills(LONG_PREFILLS_FORMAT + 1, "far", 1, 1, ())
+        for data in (encode_long_prefills(other), b"", b"\xff", b"\x95" + b"\x01" * 5):
+            self.assertIsNone(decode_long_prefills(data))
 
     def test_an_overtaken_message_says_nothing_and_a_new_boot_begins_anew(self) -> None:
         fleet = GossipFleet(1, 1, 1)
         member = fleet.members[0]
-        member.table.take_list([self.a.listed], [])
+        member.table.apply_list([self.a.listed], [])
         state = member.table.by_id["a"]
 
-        def tell(boot: int, sequence: int, *reads: LongRead) -> bool:
-            message = LongReads(LONG_READS_FORMAT, "far", boot, sequence, reads)
-            member.receive(encode_long_reads(message))
-            return bool(state.heard_by_group)
+        def tell(boot: int, sequence: int, *reads: LongPrefill) -> bool:
+            message = LongPrefills(LONG_PREFILLS_FORMAT, "far", boot, sequence, reads)
+            member.receive(encode_long_prefills(message))
+            return bool(state.peer_prefills_by_group)
 
         self.assertTrue(tell(50, 5, long_read(state.life)))
         self.assertFalse(tell(50, 7))
@@ -324,13 +326,13 @@
 
     def setUp(self) -> None:
         self.table = UpstreamTable("c0")
-        self.table.take_list([ListedUpstream("a", "engines", "10.0.0.1", 80, "c0", 8, False)], [])
+        self.table.apply_list([ListedUpstream("a", "engines", "10.0.0.1", 80, "c0", 8, False)], [])
         self.state = self.table.by_id["a"]
 
     def wait(self, seconds: float, **changes: object) -> float:
         work = replace(Work(0.03, NOW, 5000, AIM, 0.2, 1.3, True, True), **changes)  # type: ignore[arg-type]
         self.state.work_by_key[1] = work
-        return self.state.load(NOW + seconds).reading
+        return self.state.load(NOW + seconds).prefill_seconds
 
     def test_the_longer_it_lasts_the_longer_it_will(self) -> None:
         self.assertEqual(self.wait(0.15), 0.0)
@@ -342,20 +344,20 @@
         self.assertEqual(self.wait(0.5, parts=3), 0.0)
 
     def test_known_reading_explains_silence(self) -> None:
-        self.table.take_long_reads("far", [long_read(self.state.life, length=1100)], NOW)
+        self.table.update_long_prefills("far", [long_read(self.state.life, length=1100)], NOW)
         self.assertAlmostEqual(self.wait(0.5), 0.53)
 
     def test_a_peers_silence_counts_for_a_moment(self) -> None:
         other = UpstreamTable("c0")
-        other.take_list([self.state.listed], [])
+        other.apply_list([self.state.listed], [])
         work = Work(0.03, NOW - 1.0, 5000, AIM, 0.2, 1.3, True, True)
         other.by_id["a"].work_by_key[1] = work
         told = other.by_id["a"].digest(NOW)
         assert told is not None
-        self.assertTrue(told.reads[0].is_overdue)
-        self.table.take_peer_work("peer", [told], NOW, NOW + 5)
-        self.assertAlmostEqual(self.state.load(NOW).reading, 0.67)
-        self.assertEqual(self.state.load(NOW + 0.7).reading, 0.0)
+        self.assertTrue(told.prefills[0].is_overdue)
+        self.table.update_peer_work("peer", [told], NOW, NOW + 5)
+        self.assertAlmostEqual(self.state.load(NOW).prefill_seconds, 0.67)
+        self.assertEqual(self.state.load(NOW + 0.7).prefill_seconds, 0.0)
 
 
 if __name__ == "__main__":
--- a/pondpin/tests/test_relay_notice_fleet.py
+++ b/pondpin/tests/test_relay_notice_fleet.py
@@ -16,7 +16,7 @@
 from pondpin.relay.log import EventLog
 from pondpin.relay.model import AnswerHead, ListedUpstream
 from pondpin.relay.peers.description import MAX_DIGEST_LEAVING
-from pondpin.relay.upstreams.hearing import REQUEST, Asked, Hearing
+from pondpin.relay.upstreams.hearing import REQUEST, NoticeHandler, SentRequest
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.standins.wishes import Wishes
 from pondpin.tests.support import FakeClock
@@ -55,7 +55,7 @@
         self.starts += 1
         self.table = UpstreamTable("north")
         metrics = Metrics(self.name, "north")
-        self.hearing = Hearing(
+        self.hearing = NoticeHandler(
             self.table, lambda: None, lambda: None, metrics, self.log, self.clock
         )
 
@@ -127,12 +127,12 @@
         listed = [life.listed for life in self.lives if life.is_listed]
         present = {item.id for item in listed}
         missing = [name for name in instance.table.by_id if name not in present]
-        instance.table.take_list(listed, missing, self.clock())
+        instance.table.apply_list(listed, missing, self.clock())
 
     def tell(self) -> None:
         now = self.clock()
         told = [
-            instance.table.leaving_by_turns(MAX_DIGEST_LEAVING, now)
+            instance.table.rotated_leaving(MAX_DIGEST_LEAVING, now)
             for instance in self.instances
             if not instance.cut
         ]
@@ -144,7 +144,7 @@
 
     def send(self, instance: Instance) -> None:
         now = self.clock()
-        usable = instance.table.usable(SERVICE, now, frozenset())
+        usable = instance.table.candidates(SERVICE, now, frozenset())
         if not usable:
             return
         state = self.rng.choice(usable)
@@ -157,7 +157,7 @@
         notice = Notice(life.says_leaving, life.rest)
         status = 503 if life.rest else 200
         head = AnswerHead(status, "a", bool(life.rest), None, False, True, None, "", notice, ())
-        instance.hearing.hear(Asked(state.id, state.life, REQUEST, now), head)
+        instance.hearing.handle_head(SentRequest(state.id, state.life, REQUEST, now), head)
         if not life.rest:
             state.standing.note_taken(now)
 
--- a/pondpin/tests/test_relay_notice_ways.py
+++ b/pondpin/tests/test_relay_notice_ways.py
@@ -23,8 +23,8 @@
 from pondpin.relay.model import AnswerHead, ListedUpstream, life_of
 from pondpin.relay.ports import PartPlace
 from pondpin.relay.published.publication import RELIST_SECONDS
-from pondpin.relay.upstreams.hearing import Hearing
-from pondpin.relay.upstreams.probe import is_due
+from pondpin.relay.upstreams.hearing import NoticeHandler
+from pondpin.relay.upstreams.probe import is_probe_due
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.standing import Bar
@@ -100,12 +100,12 @@
             state = state_of(entry, "plain-0")
             state.needs_probe = True
             await platform.until(lambda: state.leaving)
-            await entry.late.reports.ask(state_of(entry, "engine-0"))
+            await entry.late.reports.query_status(state_of(entry, "engine-0"))
             self.assertIs(self.heard(platform, "engine-0"), Bar.LEAVES)
             engine = state_of(entry, "engine-1")
             listed = engine.listed
             part = PartPlace(listed.id, listed.host, listed.port, life=listed.life)
-            group, _ = await entry.late.leases.take("r", (part,), 100)
+            group, _ = await entry.late.leases.acquire("r", (part,), 100)
             self.assertIsNotNone(group)
             self.assertIs(self.heard(platform, "engine-1"), Bar.LEAVES)
 
@@ -306,7 +306,7 @@
     def test_a_word_of_a_helper_that_comes_while_leases_are_taken_is_heeded(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             entry = platform.entries[0]
-            take = entry.late.leases.take
+            take = entry.late.leases.acquire
             barred: list[str] = []
 
             async def take_slowly(request: str, places: Any, tokens: int) -> Any:
@@ -318,7 +318,7 @@
                     )
                 return result
 
-            with mock.patch.object(entry.late.leases, "take", take_slowly):
+            with mock.patch.object(entry.late.leases, "acquire", take_slowly):
                 answer = await ask(platform, "long", "relay-0.long", x_token_usage="460000,500")
             self.assertEqual(answer.status, 200)
             self.assertTrue(barred)
@@ -410,11 +410,11 @@
             for state in entry.table.of_service(PLAIN):
                 self.assertIs(state.bar(now), Bar.RESTS)
                 self.assertEqual((state.health.failures, state.health.ejections), (0, 0))
-                self.assertEqual(state.failing.at(now), 0.0)
+                self.assertEqual(state.failure_rate.current(now), 0.0)
                 state.needs_probe = True
-                self.assertFalse(is_due(state, now))
+                self.assertFalse(is_probe_due(state, now))
                 # It spoke a moment ago: its silence is no reason to ask.
-                self.assertTrue(await entry.late.reports.ask(state))
+                self.assertTrue(await entry.late.reports.query_status(state))
             self.assertEqual(sum(w.reports for w in platform.workers_by_id.values()), 0)
 
         self.play(work)
@@ -427,10 +427,10 @@
         clock = FakeClock()
         for rest, failures in ((3.0, 0), (0.0, 1)):
             table = UpstreamTable("north")
-            table.take_list([ListedUpstream("a", PLAIN, "10.0.0.1", 80, "north", 8, False)], [])
+            table.apply_list([ListedUpstream("a", PLAIN, "10.0.0.1", 80, "north", 8, False)], [])
             log = EventLog("x", clock, clock, os.open(os.devnull, os.O_WRONLY))
             metrics = Metrics("x", "north")
-            hearing = Hearing(table, lambda: None, lambda: None, metrics, log, clock)
+            hearing = NoticeHandler(table, lambda: None, lambda: None, metrics, log, clock)
             judge = PassiveHealth(table, hearing, metrics, log, clock)
             plan = Plan(table.by_id["a"], (), None, 1)
             notice = Notice(rest=rest)
--- a/pondpin/tests/test_relay_planner.py
+++ b/pondpin/tests/test_relay_planner.py
@@ -23,7 +23,7 @@
     Service,
     ServiceShare,
 )
-from pondpin.relay.upstreams.center_loads import CenterLoad
+from pondpin.relay.upstreams.center_loads import DataCenterLoad
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.relay.upstreams.work import Work
 
@@ -63,7 +63,7 @@
     def test_an_upstream_at_its_share_gets_nothing_more(self) -> None:
         table = UpstreamTable("north")
         listed = ListedUpstream("e0", "engines", "10.0.0.1", 80, "north", 8, False)
-        table.take_list([listed], [])
+        table.apply_list([listed], [])
         planner = Planner(
             table, lambda: NOW, random.Random(1), lambda: None, instance_count=lambda: 64
         )
@@ -82,7 +82,7 @@
             ListedUpstream(f"e{n}", "engines", "10.0.0.1", 80 + n, "north", 8, False)
             for n in range(9)
         ]
-        table.take_list(listed, [])
+        table.apply_list(listed, [])
         planner = Planner(table, lambda: NOW, random.Random(1), lambda: None)
         alone = planner.plan(make_call(40_000, 1.5, 0.6), Progress(), frozenset())
         assert alone is not None
@@ -106,7 +106,7 @@
 
     def fill(self, near: int, far: int) -> None:
         centers = ["north"] * near + ["south"] * far
-        self.table.take_list(
+        self.table.apply_list(
             [
                 ListedUpstream(f"e{index}", "engines", "10.0.0.1", index, center, 8, False)
                 for index, center in enumerate(centers)
@@ -130,41 +130,41 @@
 
     def test_a_large_fleet_reads_a_long_prompt_on_neighbours(self) -> None:
         self.fill(MIN_LOCAL_ENGINES, 20)
-        self.table.peers_tell_all = False
+        self.table.all_peers_report_work = False
         for _ in range(20):
             plan = self.plan(make_call(250_000, target=3.0, gap_target=0.8))
             self.assertEqual(self.centers(plan), {"north"})
 
     def test_other_centres_take_what_neighbours_would_be_late_with(self) -> None:
         self.fill(MIN_LOCAL_ENGINES, 20)
-        self.table.peers_tell_all = False
+        self.table.all_peers_report_work = False
         self.fill_up_near()
         self.assertEqual(self.centers(self.plan(make_call(2000))), {"south"})
 
     def test_a_light_stream_leaves_a_crowded_centre_for_an_idle_one(self) -> None:
         self.fill(MIN_LOCAL_ENGINES, 20)
-        self.table.peers_tell_all = False
+        self.table.all_peers_report_work = False
         for state in self.table.by_id.values():
             if state.listed.data_center == "north":
                 for key in range(PROFILE.slots - 1):
                     state.work_by_key[key] = Work(0.0, NOW, 1, 0.3, 0.2, 1.0, True, True)
-                    state.work_by_key[key].first_event = True
+                    state.work_by_key[key].has_first_event = True
         self.assertEqual(self.centers(self.plan(make_call(2000))), {"north"})
-        self.table.center_loads.take("south", [CenterLoad("engines", 20, 90, 90)], NOW)
+        self.table.data_center_loads.update("south", [DataCenterLoad("engines", 20, 90, 90)], NOW)
         self.assertEqual(self.centers(self.plan(make_call(2000))), {"south"})
-        self.table.center_loads.take("south", [CenterLoad("engines", 20, 140, 140)], NOW)
+        self.table.data_center_loads.update("south", [DataCenterLoad("engines", 20, 140, 140)], NOW)
         self.assertEqual(self.centers(self.plan(make_call(2000))), {"north"})
 
     def test_few_neighbours_are_not_enough_for_a_long_prompt(self) -> None:
         self.fill(3, 20)
-        self.table.peers_tell_all = False
+        self.table.all_peers_report_work = False
         plan = self.plan(make_call(250_000, target=3.0, gap_target=0.8))
         self.assertIn("south", self.centers(plan))
 
     def test_a_light_stream_stays_with_few_neighbours_until_they_are_crowded(self) -> None:
         self.fill(3, 20)
-        self.table.peers_tell_all = False
-        self.table.center_loads.take("south", [CenterLoad("engines", 20, 20, 20)], NOW)
+        self.table.all_peers_report_work = False
+        self.table.data_center_loads.update("south", [DataCenterLoad("engines", 20, 20, 20)], NOW)
         for _ in range(3 * (PROFILE.slots - 2)):
             call = make_call(2000)
             plan = self.plan(call)
@@ -178,13 +178,13 @@
 
     def test_a_data_centre_without_engines_uses_the_others(self) -> None:
         self.fill(0, 20)
-        self.table.peers_tell_all = False
+        self.table.all_peers_report_work = False
         self.assertEqual(self.centers(self.plan(make_call(2000))), {"south"})
 
     def test_a_long_prompt_keeps_off_the_light_engines_of_all_data_centres(self) -> None:
         self.fill(6, 6)
-        self.table.peers_tell_all = False
-        self.table.center_loads.take("south", [CenterLoad("engines", 6, 8, 8)], NOW)
+        self.table.all_peers_report_work = False
+        self.table.data_center_loads.update("south", [DataCenterLoad("engines", 6, 8, 8)], NOW)
         first: dict[str, str] = {}
         for state in self.table.of_service("engines"):
             first.setdefault(state.listed.data_center, state.id)
--- a/pondpin/tests/test_relay_quarantine.py
+++ b/pondpin/tests/test_relay_quarantine.py
@@ -217,7 +217,7 @@
                 first.guard.quarantine.note_end(identity, LifeEnd(place.life, now))
                 run = first.guard.tracker.begin(9, (place,), 0.0)
                 run.began = now - 1.0 if identity == 7 else now + 0.5
-                run.last_data_at = place.heard_at = now + 1.0
+                run.last_data_at = place.last_seen_at = now + 1.0
             first.guard.step(now + 1.0)
             # What came on a newer connection may be a later life's.
             self.assertEqual((ends_of(first, 7), len(ends_of(first, 8))), ([], 1))
--- a/pondpin/tests/test_relay_reports.py
+++ b/pondpin/tests/test_relay_reports.py
@@ -8,7 +8,7 @@
 from pondpin.relay.log import EventLog
 from pondpin.relay.model import EngineReport, ListedUpstream
 from pondpin.relay.ports import Hear
-from pondpin.relay.upstreams.reports import KEPT_SECONDS, Reports
+from pondpin.relay.upstreams.reports import REPORT_CACHE_SECONDS, ReportClient
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.work import Work
 from pondpin.tests.support import FakeClock, run_async
@@ -35,7 +35,7 @@
         self.clock = FakeClock()
         self.port = Port()
         log = EventLog("a", self.clock, self.clock, os.open(os.devnull, os.O_WRONLY))
-        self.reports = Reports(self.port, log, self.clock)
+        self.reports = ReportClient(self.port, log, self.clock)
         listed = ListedUpstream("e0", "engines", "10.0.0.1", 80, "north", 8, False)
         self.state = UpstreamState(listed)
 
@@ -43,7 +43,7 @@
         answers: list[bool] = []
 
         async def work() -> None:
-            asking = (self.reports.ask(self.state) for _ in range(times))
+            asking = (self.reports.query_status(self.state) for _ in range(times))
             answers.extend(await asyncio.gather(*asking))
 
         run_async(work())
@@ -54,7 +54,7 @@
         self.assertEqual(self.port.asked, 1)
         self.assertEqual(self.ask(), [True])
         self.assertEqual(self.port.asked, 1)
-        self.clock.advance(2 * KEPT_SECONDS)
+        self.clock.advance(2 * REPORT_CACHE_SECONDS)
         self.assertEqual(self.ask(), [True])
         self.assertEqual(self.port.asked, 2)
 
@@ -68,10 +68,10 @@
     def test_a_report_counts_as_a_sign_of_life_and_of_a_queue(self) -> None:
         self.clock.advance(5.0)
         self.ask()
-        self.assertEqual(self.state.heard_at, self.clock())
+        self.assertEqual(self.state.last_seen_at, self.clock())
         self.assertFalse(self.state.is_busy(self.clock()))
         self.port.answer = EngineReport(running=8, waiting=2)
-        self.clock.advance(2 * KEPT_SECONDS)
+        self.clock.advance(2 * REPORT_CACHE_SECONDS)
         self.ask()
         self.assertTrue(self.state.is_busy(self.clock()))
 
@@ -79,7 +79,7 @@
         now = self.clock()
         self.state.work_by_key[1] = Work(1.0, now, 9000, 3.0, 0.8, 2.0, False, True)
         self.assertTrue(self.state.is_busy(now))
-        self.state.note_read(1, now)
+        self.state.record_prefill_end(1, now)
         self.assertFalse(self.state.is_busy(now))
 
 
--- a/pondpin/tests/test_relay_words.py
+++ b/pondpin/tests/test_relay_words.py
@@ -238,14 +238,14 @@
         async def work(platform: LocalPlatform) -> None:
             entry = platform.entries[0]
             listed = self.name_limit(entry).listed
-            entry.table.take_list([], ["plain-0"])
-            entry.table.take_list([listed], [])
+            entry.table.apply_list([], ["plain-0"])
+            entry.table.apply_list([listed], [])
             entry.reload(entry.settings)
             self.assertEqual(self.limited(entry), ["plain-0"])
             later = ListedUpstream(
                 listed.id, listed.service, listed.host, listed.port, "north", 8, False, born=7
             )
-            entry.table.take_list([later], [])
+            entry.table.apply_list([later], [])
             self.assertEqual(self.limited(entry), [])
 
         self.play(work)
--- a/pondpin/tests/test_restored_list.py
+++ b/pondpin/tests/test_restored_list.py
@@ -146,14 +146,14 @@
                 publication = recorder.publication
                 publication.offer_configuration(configuration_item(1, 1), None, NOW)
                 publication.offer_list([entry("a", 5, 1, 1, **said)], NOW, NOW, 1)
-                table.take_list(recorder.entries, ())
+                table.apply_list(recorder.entries, ())
                 table.mark_leaving(life_of("a", born), "a peer")
                 for epoch in (2, 3):
                     copy = [entry("a", 4, 1, epoch, **said)]
                     publication.offer_list(copy, NOW + epoch, NOW + epoch, epoch)
-                    table.take_list((), ("a",))
-                    table.take_list(recorder.entries, ())
-                    self.assertEqual(table.usable(ENGINES, NOW + epoch, frozenset()), [])
+                    table.apply_list((), ("a",))
+                    table.apply_list(recorder.entries, ())
+                    self.assertEqual(table.candidates(ENGINES, NOW + epoch, frozenset()), [])
 
 
 if __name__ == "__main__":
--- a/pondpin/tests/test_suspended.py
+++ b/pondpin/tests/test_suspended.py
@@ -28,8 +28,8 @@
 from pondpin.relay.peers.digests import PeerRecord, PeerTable
 from pondpin.relay.ports import Hear, LeaseAnswer, PartPlace
 from pondpin.relay.published.freshness import PublishedVersion
-from pondpin.relay.upstreams.leases import UNUSED_SECONDS, LeaseGroup, Leases
-from pondpin.relay.upstreams.reports import Reports
+from pondpin.relay.upstreams.leases import UNUSED_SECONDS, LeaseGroup, LeaseManager
+from pondpin.relay.upstreams.reports import ReportClient
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.runtime import steady_now
 from pondpin.standins.local_platform import LocalPlatform
@@ -155,14 +155,16 @@
 
         async def work() -> None:
             port = Port()
-            reports = Reports(port, EventLog("a", steady_now, time.time, NO_DESCRIPTOR), steady_now)
+            reports = ReportClient(
+                port, EventLog("a", steady_now, time.time, NO_DESCRIPTOR), steady_now
+            )
             listed = ListedUpstream("e0", "engines", "10.0.0.1", 80, "north", 8, False)
             state = UpstreamState(listed)
-            await reports.ask(state)
-            await reports.ask(state)
+            await reports.query_status(state)
+            await reports.query_status(state)
             self.assertEqual(port.asked, 1)
             self.suspend()
-            await reports.ask(state)
+            await reports.query_status(state)
             self.assertEqual(port.asked, 2)
 
         self.play(work)
@@ -181,9 +183,9 @@
         async def work() -> None:
             port = Port()
             log = EventLog("a", steady_now, time.time, NO_DESCRIPTOR)
-            leases = Leases(port, "a", log)
+            leases = LeaseManager(port, "a", log)
             group = LeaseGroup("r", (PartPlace("e0", "10.0.0.1", 80, "l"),), 1000)
-            keeping = asyncio.ensure_future(leases.keep(group, 0.1, lambda: False))
+            keeping = asyncio.ensure_future(leases.keep_alive(group, 0.1, lambda: False))
             await asyncio.sleep(0)
             self.suspend(UNUSED_SECONDS + 1.0)
             await keeping
