--- a/pondpin/relay/changes.py
+++ b/pondpin/relay/changes.py
@@ -45,7 +45,7 @@
         self.caller_server.set_idle(self.caller_server.limits.idle_seconds)
         self.metrics.revision.set({}, configuration.version)
         # Since when it was known to be missing.
-        heard_at = self.publication.newer_heard_at
+        heard_at = self.publication.newer_seen_at
         behind = 0.0 if heard_at is None else self.clock() - heard_at
         self.log.write(
             ConfigurationTaken(
@@ -55,13 +55,13 @@
                 routes=sum(len(found) for found in configuration.routes_by_host.values()),
                 accounts=len(set(configuration.accounts_by_key.values())),
                 behind_ms=int(behind * MILLISECONDS),
-                alone=not self.publication.hears_peers,
+                alone=not self.publication.peers_seen,
             )
         )
 
     def take_list(self, change: ListChange) -> None:
         """The list of upstreams changed."""
-        news = self.table.apply_list(change.listed, change.missing, self.clock())
+        news = self.table.apply_list(change.listed, change.removed_ids, self.clock())
         for name in news.leaving:
             self.metrics.leavings.inc({"source": "list"})
             self.log.write(UpstreamLeaving(upstream=name, source="list"))
--- a/pondpin/relay/entry.py
+++ b/pondpin/relay/entry.py
@@ -45,7 +45,7 @@
 from pondpin.relay.peers.hosts import GossipAddress
 from pondpin.relay.published.freshness import is_fresh
 from pondpin.relay.published.publication import Publication
-from pondpin.relay.published.reader import ReaderController, reading_scale
+from pondpin.relay.published.reader import ReaderController, renewal_scale
 from pondpin.relay.published.source_monitor import SourceMonitor
 from pondpin.relay.upstreams.hearing import ANSWER_SOURCE, NoticeHandler
 from pondpin.relay.upstreams.probe import ProbeController
@@ -106,7 +106,7 @@
             lambda change: self.changes.take_list(change),
             lambda kind, key, reason: self.changes.note_refused(kind, key, reason),
             lambda report: self.changes.receive_report(report),
-            peers_first_until=self._made_at + PEERS_FIRST_SECONDS
+            prefer_peers_until=self._made_at + PEERS_FIRST_SECONDS
             if settings.peers.names_others
             else 0.0,
         )
@@ -242,9 +242,9 @@
             self.log,
             steady_now,
             self.rng,
-            scale=lambda: reading_scale(self.settings.limits),
+            scale=lambda: renewal_scale(self.settings.limits),
             # Peers that start try the seeds first.
-            may_wait=self.gossip.address.host not in self.gossip.peer_hosts.seeds,
+            delay_start=self.gossip.address.host not in self.gossip.peer_hosts.seeds,
             monitor=monitor,
         )
         self.controllers: tuple[Controller, ...] = (
@@ -332,7 +332,7 @@
             self.metrics_server.listen(self.reactor, place)
         bound = self.caller_server.listen(self.reactor, parse_endpoint(settings.callers))
         asyncio.get_running_loop().call_later(
-            PEERS_FIRST_SECONDS, lambda: self.publication.settle(steady_now())
+            PEERS_FIRST_SECONDS, lambda: self.publication.apply_pending(steady_now())
         )
         phase = steady_now()
         for controller in self.controllers:
--- a/pondpin/relay/late_parts.py
+++ b/pondpin/relay/late_parts.py
@@ -20,7 +20,7 @@
     from pondpin.relay.attempts.permit_taking import PermitAcquirer
     from pondpin.relay.operations import Operations
     from pondpin.relay.published.document_server import DocumentServer
-    from pondpin.relay.published.pieces import FetchPieceReply, FetchPieceRequest, HttpPieces
+    from pondpin.relay.published.pieces import FetchPieceReply, FetchPieceRequest, HttpPieceClient
     from pondpin.relay.upstreams.leases import LeaseManager
     from pondpin.relay.upstreams.prober import Prober
     from pondpin.relay.upstreams.reports import ReportClient
@@ -41,10 +41,10 @@
         self._metrics = metrics
 
     @cached_property
-    def _pieces(self) -> "HttpPieces":
-        from pondpin.relay.published.pieces import HttpPieces
+    def _pieces(self) -> "HttpPieceClient":
+        from pondpin.relay.published.pieces import HttpPieceClient
 
-        return HttpPieces(self._http, self._metrics, PIECES_PATH)
+        return HttpPieceClient(self._http, self._metrics, PIECES_PATH)
 
     async def fetch_piece(
         self, address: str, request: "FetchPieceRequest", timeout: float
--- a/pondpin/relay/peers/controller.py
+++ b/pondpin/relay/peers/controller.py
@@ -21,6 +21,6 @@
     async def step(self) -> None:
         """One round."""
         now = self._clock()
-        self._publication.settle(now)
+        self._publication.apply_pending(now)
         self._gossip.update_silent_data_centers(now)
         self._gossip.send(now)
--- a/pondpin/relay/peers/published_news.py
+++ b/pondpin/relay/peers/published_news.py
@@ -30,7 +30,7 @@
             document_port=gossip.address.document_port,
             publication=gossip.publication,
             peers=gossip.piece_port,
-            on_news=gossip.send_soon,
+            on_update=gossip.send_soon,
             log=gossip.log,
             clock=gossip.clock,
             rng=gossip.rng,
@@ -72,14 +72,14 @@
                     in_force=publication.in_force.version,
                 )
             )
-        if publication.wants(told):
+        if publication.accepts(told):
             self._offer(digest, told, now)
 
     def _receive_list_age(self, digest: Digest, read_at: float, now: float) -> None:
         """The sender's list was read at read_at of this process's clock."""
         publication = self._gossip.publication
         if digest.list_tag == publication.list_tag:
-            publication.note_list_current(read_at)
+            publication.confirm_list(read_at)
         elif publication.list_at is None or read_at > publication.list_at:
             self._offer(digest, ListOffer(digest.list_tag, digest.epoch, read_at), now)
 
--- a/pondpin/relay/published/contents.py
+++ b/pondpin/relay/published/contents.py
@@ -11,7 +11,7 @@
 KEPT_CONTENTS = 32
 
 
-class ConfigurationContents:
+class ConfigurationCache:
     """Decodes each content once, and remembers its version."""
 
     def __init__(
@@ -26,7 +26,7 @@
         self._version_by_content: OrderedDict[int, int | None] = OrderedDict()
         self._last: tuple[int, RelayConfiguration] | None = None
 
-    def identify(self, item: PublishedItem) -> PublishedVersion | None:
+    def version_of(self, item: PublishedItem) -> PublishedVersion | None:
         """The version of a configuration; None for one that isn't sound."""
         content = hash_content(item.value)
         if content not in self._version_by_content:
@@ -38,7 +38,7 @@
             return None
         return PublishedVersion(version, item.epoch, item.revision, content)
 
-    def take(self, item: PublishedItem, content: int) -> RelayConfiguration:
+    def decode(self, item: PublishedItem, content: int) -> RelayConfiguration:
         """The decoded configuration of a sound content."""
         last, self._last = self._last, None
         if last is not None and last[0] == content:
--- a/pondpin/relay/published/differences.py
+++ b/pondpin/relay/published/differences.py
@@ -25,24 +25,24 @@
     data: bytes
 
 
-Step = Kept | Added
+DeltaStep = Kept | Added
 
 
-def cut(value: bytes) -> list[bytes]:
+def split_segments(value: bytes) -> list[bytes]:
     """The pieces of a value; joined they are the value."""
     parts = value.split(END)
     pieces = [part + END for part in parts[:-1]]
     return [*pieces, parts[-1]] if parts[-1] else pieces
 
 
-def difference(old: bytes, new: bytes) -> tuple[Step, ...]:
+def encode_delta(old: bytes, new: bytes) -> tuple[DeltaStep, ...]:
     """How to make the new value from the old one."""
-    old_pieces = cut(old)
-    new_pieces = cut(new)
+    old_pieces = split_segments(old)
+    new_pieces = split_segments(new)
     place_by_piece: dict[bytes, int] = {}
     for place, piece in enumerate(old_pieces):
         place_by_piece.setdefault(piece, place)
-    steps: list[Step] = []
+    steps: list[DeltaStep] = []
     added: list[bytes] = []
     index = 0
     while index < len(new_pieces):
@@ -71,9 +71,9 @@
     return count
 
 
-def patch(old: bytes, steps: Sequence[Step]) -> bytes:
+def apply_delta(old: bytes, steps: Sequence[DeltaStep]) -> bytes:
     """The new value; raises ValueError for steps that don't fit the old one."""
-    pieces = cut(old)
+    pieces = split_segments(old)
     made: list[bytes] = []
     for step in steps:
         if isinstance(step, Added):
--- a/pondpin/relay/published/document_fetch.py
+++ b/pondpin/relay/published/document_fetch.py
@@ -34,7 +34,7 @@
 # others then have it from near.
 FAR_FETCH_SECONDS = 0.3
 # A busy peer is asked again after this to twice this: a transfer of a difference takes so long.
-BUSY_SECONDS = 0.05
+BUSY_RETRY_SECONDS = 0.05
 MILLISECONDS = 1000.0
 
 
@@ -81,7 +81,7 @@
     document_port: int
     publication: Publication
     peers: PiecePort
-    on_news: Callable[[], None]
+    on_update: Callable[[], None]
     log: EventLog
     clock: Clock
     rng: random.Random
@@ -140,7 +140,7 @@
     def _is_newer(self, offer: Offer) -> bool:
         publication = self.publication
         if isinstance(offer, PublishedVersion):
-            return publication.wants(offer)
+            return publication.accepts(offer)
         if publication.list_at is None:
             return True
         if offer.epoch < publication.epoch or offer.tag == publication.list_tag:
@@ -158,11 +158,11 @@
             self._give_up(transfer, holder, str(error), sent_at)
             return
         if reply.busy:
-            wait = BUSY_SECONDS * (1.0 + self.rng.random())
+            wait = BUSY_RETRY_SECONDS * (1.0 + self.rng.random())
             later = replace(holder, not_before=self.clock() + wait)
             transfer.holders_by_host[holder.host] = later
             return
-        if not reply.document:
+        if not reply.packed_id:
             # The peer has restarted, or what it has is not newer.
             transfer.holders_by_host.pop(holder.host, None)
             return
@@ -183,8 +183,8 @@
         in_force = publication.in_force
         return FetchPieceRequest(
             kind=kind,
-            have=0 if transfer.whole else in_force.revision,
-            document=begun,
+            known=0 if transfer.whole else in_force.revision,
+            packed_id=begun,
             offset=offset,
             host=self.host,
             version=in_force.version,
@@ -194,8 +194,8 @@
 
     def _add(self, transfer: Transfer, reply: FetchPieceReply, sent_at: float) -> Partial:
         partial = transfer.partial
-        if partial is None or partial.document != reply.document:
-            partial = Partial(reply.document, reply.size, sent_at)
+        if partial is None or partial.document != reply.packed_id:
+            partial = Partial(reply.packed_id, reply.size, sent_at)
             transfer.partial = partial
         partial.data += reply.piece
         return partial
@@ -216,8 +216,8 @@
             if kind is DocumentKind.CONFIGURATION:
                 self._take_configuration(bytes(partial.data), holder.offer, proved_at, now)
             elif proved_at is not None:
-                document = unpack(bytes(partial.data), self.publication.kept_lists.find)
-                self.publication.offer_list(decode_list(document), proved_at, now, reply.epoch)
+                document = unpack(bytes(partial.data), self.publication.recent_lists.get)
+                self.publication.apply_list(decode_list(document), proved_at, now, reply.epoch)
         except ValueError as error:
             transfer.whole = True
             self._give_up(transfer, holder, str(error), partial.began_at)
@@ -234,16 +234,16 @@
                 after_ms=after_ms,
             )
         )
-        self.on_news()
+        self.on_update()
 
     def _take_configuration(
         self, data: bytes, offer: Offer, proved_at: float | None, now: float
     ) -> None:
-        document = unpack(data, self.publication.kept_configurations.find)
+        document = unpack(data, self.publication.recent_configurations.get)
         item = decode_configuration(document)
-        found = self.publication.offer_configuration(item, proved_at, now, from_peer=True)
+        found = self.publication.apply_configuration(item, proved_at, now, from_peer=True)
         if found is None and isinstance(offer, PublishedVersion):
-            self.publication.refuse(offer)
+            self.publication.reject(offer)
 
     def _give_up(self, transfer: Transfer, holder: Holder, reason: str, began_at: float) -> None:
         """Ask this peer no more until it tells again that it has something newer."""
--- a/pondpin/relay/published/document_server.py
+++ b/pondpin/relay/published/document_server.py
@@ -12,8 +12,8 @@
 from pondpin.relay.published.freshness import PublishedVersion
 from pondpin.relay.published.packing import (
     PIECE_BYTES,
-    DocumentShelf,
     PackedDocument,
+    PackedDocumentCache,
 )
 from pondpin.relay.published.pieces import (
     CONTENT_TYPE,
@@ -27,7 +27,7 @@
 
 # So many transfers share a link: each ends soon and its receiver serves others. With all at once
 # none of them would end for long, and callers' streams would wait behind all their pieces.
-MOST_TRANSFERS = 3
+MAX_TRANSFERS = 3
 # A receiver that asks for no further piece for so long has given up or gone elsewhere.
 TRANSFER_IDLE_SECONDS = 0.4
 MILLISECONDS = 1000.0
@@ -47,7 +47,7 @@
             for name, at in self._asked_at_by_host.items()
             if now - at < TRANSFER_IDLE_SECONDS
         }
-        if host not in self._asked_at_by_host and len(self._asked_at_by_host) >= MOST_TRANSFERS:
+        if host not in self._asked_at_by_host and len(self._asked_at_by_host) >= MAX_TRANSFERS:
             return False
         self._asked_at_by_host[host] = now
         return True
@@ -63,7 +63,7 @@
     def __init__(self, publication: Publication, clock: Clock) -> None:
         self._publication = publication
         self._clock = clock
-        self._shelf = DocumentShelf()
+        self._shelf = PackedDocumentCache()
         self._slots = TransferSlots()
 
     async def handle(self, incoming: Incoming, reply: Reply) -> None:
@@ -81,8 +81,8 @@
         if document is None:
             return FetchPieceReply(age_ms=UNKNOWN_AGE)
         is_list = request.kind == DocumentKind.UPSTREAMS
-        version = document.document if is_list else document.revision
-        offset = request.offset if request.document == document.id else 0
+        version = document.document_id if is_list else document.revision
+        offset = request.offset if request.packed_id == document.id else 0
         piece = document.piece(offset)
         is_small = len(document.data) <= PIECE_BYTES
         if not is_small and not self._slots.admit(request.host, now):
@@ -91,7 +91,7 @@
             self._slots.end(request.host)
         return FetchPieceReply(
             version=version,
-            document=document.id,
+            packed_id=document.id,
             size=len(document.data),
             piece=piece,
             age_ms=self._age_ms(request.kind, document, now),
@@ -104,37 +104,37 @@
         if request.kind == DocumentKind.CONFIGURATION:
             # A transfer that has begun ends, though a newer one is in force by now: in a series of
             # changes a slow receiver would begin again and again.
-            begun = self._shelf.by_id(request.document) if request.document else None
+            begun = self._shelf.get(request.packed_id) if request.packed_id else None
             if begun is not None:
                 return begun
             return self._find_configuration(request)
-        if request.kind == DocumentKind.UPSTREAMS and publication.list_tag != request.have:
-            document = publication.kept_lists.find(publication.list_tag)
-            return self._pack(document, publication.kept_lists.find(request.have))
+        if request.kind == DocumentKind.UPSTREAMS and publication.list_tag != request.known:
+            document = publication.recent_lists.get(publication.list_tag)
+            return self._pack(document, publication.recent_lists.get(request.known))
         return None
 
     def _find_configuration(self, request: FetchPieceRequest) -> PackedDocument | None:
         publication = self._publication
         in_force = publication.in_force
-        kept = publication.kept_configurations
-        document = kept.find(in_force.content)
+        kept = publication.recent_configurations
+        document = kept.get(in_force.content)
         if request.version is None:
             if document is None or self._is_known_to_earlier_release(request):
                 return None
             return self._pack(encode_for_earlier_release(document), None)
         # Also for like content: the asker learns the epoch and revision of it.
-        theirs = PublishedVersion(request.version, request.epoch, request.have)
+        theirs = PublishedVersion(request.version, request.epoch, request.known)
         if not in_force.is_newer_than(theirs):
             return None
-        return self._pack(document, kept.find(request.content))
+        return self._pack(document, kept.get(request.content))
 
     def _is_known_to_earlier_release(self, request: FetchPieceRequest) -> bool:
         """Whether revisions can be compared, and the asker's is no lower."""
         in_force = self._publication.in_force
-        return in_force.epoch == 0 and in_force.revision <= request.have
+        return in_force.epoch == 0 and in_force.revision <= request.known
 
     def _pack(self, document: Document | None, base: Document | None) -> PackedDocument | None:
-        return self._shelf.packed(document, base) if document is not None else None
+        return self._shelf.get_or_pack(document, base) if document is not None else None
 
     def _age_ms(self, kind: int, document: PackedDocument, now: float) -> int:
         """How long ago the document was proved to be the newest, rounded up."""
@@ -144,8 +144,8 @@
         else:
             proof = publication.proof
             in_force = publication.in_force
-            is_in_force = document.document in (in_force.content, in_force.revision)
-            proved_at = proof.at if proof is not None and is_in_force else None
+            is_in_force = document.document_id in (in_force.content, in_force.revision)
+            proved_at = proof.sent_at if proof is not None and is_in_force else None
         if proved_at is None:
             return UNKNOWN_AGE
         return int((now - proved_at) * MILLISECONDS) + 1
--- a/pondpin/relay/published/documents.py
+++ b/pondpin/relay/published/documents.py
@@ -10,7 +10,7 @@
 
 # Versions that differences are made from: those that were in force last. Changes come seconds
 # apart at the most busy times, and a peer is a few seconds behind.
-KEPT_VERSIONS = 4
+MAX_RECENT_DOCUMENTS = 4
 
 
 class PublishedItem(msgspec.Struct, frozen=True, array_like=True):
@@ -96,19 +96,19 @@
     return _ITEMS.decode(document.value)
 
 
-class KeptVersions:
+class RecentDocuments:
     """The last documents of a kind."""
 
     def __init__(self) -> None:
         self._by_id: OrderedDict[int, Document] = OrderedDict()
 
-    def keep(self, document: Document) -> None:
+    def add(self, document: Document) -> None:
         """Keep a document, and forget the oldest."""
         self._by_id[document.id] = document
         self._by_id.move_to_end(document.id)
-        while len(self._by_id) > KEPT_VERSIONS:
+        while len(self._by_id) > MAX_RECENT_DOCUMENTS:
             self._by_id.popitem(last=False)
 
-    def find(self, document: int) -> Document | None:
+    def get(self, document: int) -> Document | None:
         """A document by its id, None when it isn't kept."""
         return self._by_id.get(document)
--- a/pondpin/relay/published/freshness.py
+++ b/pondpin/relay/published/freshness.py
@@ -43,25 +43,25 @@
     """
 
     newest: PublishedVersion
-    at: float
+    sent_at: float
 
     def age(self, now: float) -> float:
         """Seconds since the read was sent."""
-        return now - self.at
+        return now - self.sent_at
 
-    def counts_for(self, version: PublishedVersion) -> bool:
+    def confirms(self, version: PublishedVersion) -> bool:
         """Whether nothing newer than a version was published when the read was sent."""
         return not self.newest.is_newer_than(version)
 
 
-def later(known: Proof | None, offered: Proof) -> Proof:
+def later_proof(known: Proof | None, offered: Proof) -> Proof:
     """The proof to keep of two that count."""
-    return offered if known is None or offered.at > known.at else known
+    return offered if known is None or offered.sent_at > known.sent_at else known
 
 
 def is_fresh(proof: Proof | None, in_force: PublishedVersion, now: float, bound: float) -> bool:
     """Whether the version in force here was proved less than bound seconds ago."""
-    return proof is not None and proof.counts_for(in_force) and proof.age(now) < bound
+    return proof is not None and proof.confirms(in_force) and proof.age(now) < bound
 
 
 def peer_proof(newest: PublishedVersion, asked_at: float, age_there: float) -> Proof:
--- a/pondpin/relay/published/gone_entries.py
+++ b/pondpin/relay/published/gone_entries.py
@@ -18,7 +18,7 @@
     epoch: int
 
 
-class GoneEntries:
+class RemovedEntries:
     """Tells an entry of a restored copy from one that its upstream wrote again.
 
     A life counts its writes: an entry of a later epoch whose sequence is no higher than the last
@@ -35,13 +35,13 @@
         while len(self._by_key) > MOST_GONE_ENTRIES:
             self._by_key.popitem(last=False)
 
-    def is_copy(self, key: str, entry: ListedUpstream, epoch: int) -> bool:
+    def is_restored_copy(self, key: str, entry: ListedUpstream, epoch: int) -> bool:
         """Whether an entry of an epoch is an old one of a life that was given up before."""
         gone = self._by_key.get(key)
         if gone is None or gone.born != entry.born:
             return False
         return epoch > gone.epoch and entry.sequence <= gone.sequence
 
-    def forget(self, key: str) -> None:
+    def discard(self, key: str) -> None:
         """A key is listed again."""
         self._by_key.pop(key, None)
--- a/pondpin/relay/published/packing.py
+++ b/pondpin/relay/published/packing.py
@@ -12,7 +12,7 @@
 import msgspec
 import xxhash
 
-from pondpin.relay.published.differences import Step, difference, patch
+from pondpin.relay.published.differences import DeltaStep, apply_delta, encode_delta
 from pondpin.relay.published.documents import Document
 
 # A piece takes 13 ms of a link of 10 Mbit/s: the streams of callers wait for no longer.
@@ -22,7 +22,7 @@
 # A document that unpacks to more is refused: a published value has a megabyte at most.
 MOST_DOCUMENT_BYTES = 8 << 20
 # Packed documents that are kept: the newest from a few bases, and those that are under way.
-KEPT_PACKED = 8
+MAX_CACHED_DOCUMENTS = 8
 
 
 class Packed(msgspec.Struct, frozen=True, array_like=True):
@@ -35,7 +35,7 @@
     document: int
     base: int
     check: int
-    steps: tuple[Step, ...]
+    steps: tuple[DeltaStep, ...]
     key: str = ""
     revision: int = 0
     epoch: int = 0
@@ -51,7 +51,7 @@
     """
 
     id: int
-    document: int
+    document_id: int
     data: bytes
     revision: int = 0
 
@@ -66,7 +66,7 @@
         document=document.id,
         base=base.id if base is not None else 0,
         check=xxhash.xxh64_intdigest(document.value),
-        steps=difference(base.value if base is not None else b"", document.value),
+        steps=encode_delta(base.value if base is not None else b"", document.value),
         key=document.key,
         revision=document.revision,
         epoch=document.epoch,
@@ -84,7 +84,7 @@
     base = find_base(packed.base) if packed.base else None
     if packed.base and base is None:
         raise ValueError(f"a difference from {packed.base:x}, which isn't kept")
-    value = patch(base.value if base is not None else b"", packed.steps)
+    value = apply_delta(base.value if base is not None else b"", packed.steps)
     if xxhash.xxh64_intdigest(value) != packed.check:
         raise ValueError("a document that is not the one that was sent")
     return Document(packed.document, value, packed.key, packed.revision, packed.epoch)
@@ -101,13 +101,13 @@
     return document
 
 
-class DocumentShelf:
+class PackedDocumentCache:
     """Keeps what was packed last, by what it was packed from and by its id."""
 
     def __init__(self) -> None:
         self._by_source: OrderedDict[tuple[object, ...], PackedDocument] = OrderedDict()
 
-    def packed(self, document: Document, base: Document | None) -> PackedDocument:
+    def get_or_pack(self, document: Document, base: Document | None) -> PackedDocument:
         """A document for one who has the base."""
         place = document.key, document.epoch, document.revision
         source = document.id, place, base.id if base is not None else 0
@@ -116,11 +116,11 @@
             return found
         made = pack(document, base)
         self._by_source[source] = made
-        while len(self._by_source) > KEPT_PACKED:
+        while len(self._by_source) > MAX_CACHED_DOCUMENTS:
             self._by_source.popitem(last=False)
         return made
 
-    def by_id(self, document: int) -> PackedDocument | None:
+    def get(self, document: int) -> PackedDocument | None:
         """A document that is still kept."""
         found = (kept for kept in self._by_source.values() if kept.id == document)
         return next(found, None)
--- a/pondpin/relay/published/pieces.py
+++ b/pondpin/relay/published/pieces.py
@@ -29,8 +29,8 @@
     """
 
     kind: int
-    have: int = 0
-    document: int = 0
+    known: int = 0
+    packed_id: int = 0
     offset: int = 0
     host: str = ""
     version: int | None = None
@@ -47,7 +47,7 @@
     """
 
     version: int = 0
-    document: int = 0
+    packed_id: int = 0
     size: int = 0
     piece: bytes = b""
     age_ms: int = 0
@@ -79,7 +79,7 @@
         ...
 
 
-class HttpPieces:
+class HttpPieceClient:
     """PiecePort over HTTP; a connection that fell silent is dropped with the call."""
 
     def __init__(self, http: HttpClient, metrics: Metrics, path: str) -> None:
--- a/pondpin/relay/published/publication.py
+++ b/pondpin/relay/published/publication.py
@@ -13,26 +13,31 @@
 import xxhash
 
 from pondpin.relay.model import ListedUpstream, RelayConfiguration, starts_before
-from pondpin.relay.published.contents import ConfigurationContents
+from pondpin.relay.published.contents import ConfigurationCache
 from pondpin.relay.published.documents import (
     DocumentKind,
-    KeptVersions,
     PublishedItem,
+    RecentDocuments,
     encode_configuration,
     encode_list,
 )
-from pondpin.relay.published.freshness import NOTHING_PUBLISHED, Proof, PublishedVersion, later
-from pondpin.relay.published.reports import EntriesLeftOut, EpochChange, Report
-from pondpin.relay.published.told_versions import ToldVersions
+from pondpin.relay.published.freshness import (
+    NOTHING_PUBLISHED,
+    Proof,
+    PublishedVersion,
+    later_proof,
+)
+from pondpin.relay.published.reports import EpochChange, IgnoredEntries, Report
+from pondpin.relay.published.told_versions import AnnouncedVersions
 
 if TYPE_CHECKING:
-    from pondpin.relay.published.gone_entries import GoneEntries
+    from pondpin.relay.published.gone_entries import RemovedEntries
 
 # An entry may lapse while the source is away, and is written again within about two seconds of its
 # return: only what is missing for longer is gone.
-RELIST_SECONDS = 2.4
+RELIST_GRACE_SECONDS = 2.4
 # A gap between reads that is longer than this counts as an absence of the source.
-ABSENCE_SECONDS = 3.0
+OUTAGE_SECONDS = 3.0
 # Starts of lives that are remembered, so that a late entry doesn't bring an earlier life back.
 KEPT_STARTS = 10_000
 # Versions that can't be decoded here, of a later release while it is rolled out.
@@ -56,7 +61,7 @@
     """What a reading of the list changed: the upstreams to use, and ids that are none any more."""
 
     listed: tuple[ListedUpstream, ...]
-    missing: tuple[str, ...]
+    removed_ids: tuple[str, ...]
 
 
 def tag_of(items: Sequence[PublishedItem]) -> int:
@@ -76,7 +81,7 @@
         on_list: Callable[[ListChange], None],
         on_refused: Callable[[DocumentKind, str, str], None],
         on_report: Callable[[Report], None] = lambda report: None,
-        peers_first_until: float = 0.0,
+        prefer_peers_until: float = 0.0,
     ) -> None:
         """peers_first_until: until then a first configuration of the source waits for a peer."""
         self._decoder = decoder
@@ -84,26 +89,26 @@
         self._on_list = on_list
         self._on_refused = on_refused
         self._on_report = on_report
-        self._peers_first_until = peers_first_until
+        self._prefer_peers_until = prefer_peers_until
         # The highest epoch heard of; 0 while the source names none.
         self.epoch = 0
         self.configuration: RelayConfiguration | None = None
         self.in_force = NOTHING_PUBLISHED
-        self.kept_configurations = KeptVersions()
-        self.kept_lists = KeptVersions()
+        self.recent_configurations = RecentDocuments()
+        self.recent_lists = RecentDocuments()
         self.proof: Proof | None = None
-        self._contents = ConfigurationContents(
+        self._contents = ConfigurationCache(
             decoder.configuration,
             lambda key, reason: on_refused(DocumentKind.CONFIGURATION, key, reason),
         )
         self._left_out: PublishedVersion | None = None
-        self._told = ToldVersions()
+        self._told = AnnouncedVersions()
         self._refused: deque[PublishedVersion] = deque(maxlen=KEPT_REFUSED)
-        self.hears_peers = False
+        self.peers_seen = False
         # A first configuration that waits for peers, and when its read was sent.
         self._waiting: tuple[PublishedItem, float] | None = None
         # When the first word of a newer one came, at the moment the one in force was taken.
-        self.newer_heard_at: float | None = None
+        self.newer_seen_at: float | None = None
         self.list_tag = 0
         self.list_epoch = 0
         self.list_at: float | None = None
@@ -112,7 +117,7 @@
         self._place_by_key: dict[str, tuple[int, int]] = {}
         self._missing: set[str] = set()
         # Loaded with the first entry that is given up.
-        self._gone: GoneEntries | None = None
+        self._gone: RemovedEntries | None = None
         # Ids whose entry can't be used any more.
         self._withdrawn: list[str] = []
         # The start of the latest life that was seen under a key.
@@ -136,14 +141,14 @@
 
     def receive_peer_version(self, told: PublishedVersion, now: float) -> bool:
         """A peer has a version in force; True when that is news of a newer one."""
-        self.hears_peers = True
-        return self.wants(told) and self._told.record(told, now)
+        self.peers_seen = True
+        return self.accepts(told) and self._told.record(told, now)
 
-    def wants(self, version: PublishedVersion) -> bool:
+    def accepts(self, version: PublishedVersion) -> bool:
         """Whether a version is newer than the one in force, and not known to be unsound."""
         return version.is_newer_than(self.in_force) and version not in self._refused
 
-    def refuse(self, version: PublishedVersion) -> None:
+    def reject(self, version: PublishedVersion) -> None:
         """The document of a version that a peer told can't be decoded here."""
         self._refused.append(version)
         self._told.remove(version)
@@ -156,14 +161,14 @@
         """For how long a newer configuration is known of that a peer still has; 0 without one."""
         return self._told.behind_seconds(now)
 
-    def offer_configuration(
+    def apply_configuration(
         self, item: PublishedItem, read_at: float | None, now: float, from_peer: bool = False
     ) -> PublishedVersion | None:
         """Take a configuration if it is newer and sound; returns its version, None if unsound.
 
         read_at: when the linearizable read that found it was sent, None where it proves nothing.
         """
-        found = self._contents.identify(item)
+        found = self._contents.version_of(item)
         if found is None:
             return None
         if not found.is_newer_than(self.in_force):
@@ -179,8 +184,8 @@
 
     def receive_proof(self, proof: Proof) -> None:
         """This instance or a peer found out which version is the newest."""
-        if proof.counts_for(self.in_force):
-            self.proof = later(self.proof, proof)
+        if proof.confirms(self.in_force):
+            self.proof = later_proof(self.proof, proof)
 
     def _waits_for_peers(self, found: PublishedVersion, now: float) -> bool:
         """Whether a first configuration waits: the source may hold an older copy, and peers the
@@ -188,7 +193,7 @@
         """
         if self.configuration is not None:
             return False
-        is_early = now < self._peers_first_until and not self.hears_peers
+        is_early = now < self._prefer_peers_until and not self.peers_seen
         return is_early or self._told.has_newer_than(found, now)
 
     def _leave_out(self, item: PublishedItem, found: PublishedVersion) -> None:
@@ -204,15 +209,15 @@
         place = found.epoch, found.revision
         if place > (self.in_force.epoch, self.in_force.revision):
             self.in_force = found
-            self._told.drop(found)
-            self.kept_configurations.keep(encode_configuration(item))
+            self._told.drop_older(found)
+            self.recent_configurations.add(encode_configuration(item))
 
     def _replace(self, item: PublishedItem, found: PublishedVersion) -> None:
-        configuration = self._contents.take(item, found.content)
-        self.newer_heard_at = self._told.first_at
+        configuration = self._contents.decode(item, found.content)
+        self.newer_seen_at = self._told.first_seen_at
         self.in_force = found
-        self._told.drop(found)
-        self.kept_configurations.keep(encode_configuration(item))
+        self._told.drop_older(found)
+        self.recent_configurations.add(encode_configuration(item))
         self.configuration = configuration
         self._on_configuration(configuration)
         self._note_services(configuration)
@@ -224,7 +229,7 @@
         if len(self._named_services) > known and self.list_at is not None:
             self._on_list(ListChange(self._usable(), ()))
 
-    def offer_list(
+    def apply_list(
         self, items: Sequence[PublishedItem], at: float, now: float, epoch: int = 0
     ) -> None:
         """Take the list as it was in an epoch, at a moment of this process's clock."""
@@ -236,10 +241,10 @@
         tag = tag_of(items)
         if tag != self.list_tag:
             self._take_items(items, epoch)
-            self.kept_lists.keep(encode_list(items, tag))
+            self.recent_lists.add(encode_list(items, tag))
             self.list_tag = tag
             self._report(now)
-        self.settle(now)
+        self.apply_pending(now)
 
     def _is_earlier(self, epoch: int, at: float) -> bool:
         """Whether a list is of an epoch that is over, or was read before the one in use."""
@@ -249,24 +254,24 @@
         """After an absence of the source, or a restore, entries have time to come back."""
         if self.list_at is None:
             return
-        if at - self.list_at > ABSENCE_SECONDS or epoch > self.list_epoch:
-            self._relist_until = now + RELIST_SECONDS
+        if at - self.list_at > OUTAGE_SECONDS or epoch > self.list_epoch:
+            self._relist_until = now + RELIST_GRACE_SECONDS
 
-    def note_list_current(self, at: float) -> None:
+    def confirm_list(self, at: float) -> None:
         """A peer found the list unchanged at a later moment."""
         if self.list_at is not None and at > self.list_at:
-            if at - self.list_at > ABSENCE_SECONDS:
-                self._relist_until = at + RELIST_SECONDS
+            if at - self.list_at > OUTAGE_SECONDS:
+                self._relist_until = at + RELIST_GRACE_SECONDS
             self.list_at = at
 
-    def settle(self, now: float) -> None:
+    def apply_pending(self, now: float) -> None:
         """Give up entries that stayed missing, and take a configuration that waited for peers."""
         if self._missing and now >= self._relist_until:
             self._report(now)
         if self._waiting is not None:
             item, read_at = self._waiting
             self._waiting = None
-            self.offer_configuration(item, read_at, now)
+            self.apply_configuration(item, read_at, now)
 
     def _take_items(self, items: Sequence[PublishedItem], epoch: int) -> None:
         older: list[str] = []
@@ -282,21 +287,21 @@
             except ValueError as error:
                 self._on_refused(DocumentKind.UPSTREAMS, item.key, str(error))
                 continue
-            if self._gone is not None and self._gone.is_copy(item.key, entry, epoch):
+            if self._gone is not None and self._gone.is_restored_copy(item.key, entry, epoch):
                 gone.append(item.key)
             elif known is not None and known[0] < epoch and self._is_older(item.key, entry):
                 older.append(item.key)
             else:
                 self._list_entry(item.key, entry)
         if older or gone:
-            self._on_report(EntriesLeftOut(epoch, len(older), len(gone)))
+            self._on_report(IgnoredEntries(epoch, len(older), len(gone)))
         self._drop_absent({item.key for item in items})
 
     def _record_gone(self, key: str, entry: ListedUpstream) -> None:
         if self._gone is None:
-            from pondpin.relay.published.gone_entries import GoneEntries
+            from pondpin.relay.published.gone_entries import RemovedEntries
 
-            self._gone = GoneEntries()
+            self._gone = RemovedEntries()
         self._gone.record(key, entry, self.list_epoch)
 
     def _drop_absent(self, present: set[str]) -> None:
@@ -335,7 +340,7 @@
             # It waits for a configuration that names its service.
             self._withdraw(key)
         if self._gone is not None:
-            self._gone.forget(key)
+            self._gone.discard(key)
         self._listed_by_key[key] = entry
         if entry.born is not None:
             self._note_born(key, entry.born)
--- a/pondpin/relay/published/reader.py
+++ b/pondpin/relay/published/reader.py
@@ -38,37 +38,37 @@
 CHECK_SECONDS = PERIOD_SECONDS
 # The ages below keep these bounds; with longer ones they are multiplied.
 SHORTEST_CONFIGURATION_MS = 2000.0
-SHORTEST_KEY_MS = 3300.0
+BASE_KEY_MS = 3300.0
 # The first in rank reads when the proof is this old.
-FIRST_AGE_SECONDS = 0.6
+RENEWAL_AGE_SECONDS = 0.6
 # Each further one waits longer by this, since proofs take time to arrive, up to the last.
-RANK_SECONDS = 0.3
-LAST_RANK = 4
+RANK_DELAY_SECONDS = 0.3
+MAX_RANK = 4
 # An instance that starts waits for this to twice this to hear its peers, lest all of a fleet that
 # starts read the source at once; seeds read at once.
-START_WAIT_SECONDS = 0.25
+START_DELAY_SECONDS = 0.25
 # A read is given up and its connection dropped when nothing comes for so long.
-READ_SECONDS = 1.0
+READ_STALL_SECONDS = 1.0
 # A read that spans two epochs is begun again at once, so often.
-EPOCH_TRIES = 3
+MAX_EPOCH_READS = 3
 # A read that took longer than this is logged although it brought nothing new.
 SLOW_READ_SECONDS = 0.5
 MILLISECONDS = 1000.0
 FIRST_BACKOFF_SECONDS = 0.25
-LONGEST_BACKOFF_SECONDS = 2.0
+MAX_BACKOFF_SECONDS = 2.0
 
 
-def reading_scale(limits: RelayLimits) -> float:
+def renewal_scale(limits: RelayLimits) -> float:
     """How much later than the shortest bounds ask for proofs may be renewed."""
     bounds = [limits.configuration_ms / SHORTEST_CONFIGURATION_MS]
     if limits.keys_need_proof:
-        bounds.append(limits.key_ms / SHORTEST_KEY_MS)
+        bounds.append(limits.key_ms / BASE_KEY_MS)
     return max(1.0, min(bounds))
 
 
 def due_age(rank: int, scale: float = 1.0) -> float:
     """The age of the proof, in seconds, at which an instance of this rank reads."""
-    return scale * (FIRST_AGE_SECONDS + RANK_SECONDS * min(rank, LAST_RANK))
+    return scale * (RENEWAL_AGE_SECONDS + RANK_DELAY_SECONDS * min(rank, MAX_RANK))
 
 
 def is_due(proof_age: float, rank: int, scale: float = 1.0) -> bool:
@@ -78,7 +78,7 @@
 
 def backoff_seconds(failures: int, draw: float) -> float:
     """How long to wait after some failures in a row; draw between 0 and 1 is the jitter."""
-    longest = min(LONGEST_BACKOFF_SECONDS, FIRST_BACKOFF_SECONDS * 2.0**failures)
+    longest = min(MAX_BACKOFF_SECONDS, FIRST_BACKOFF_SECONDS * 2.0**failures)
     return longest * (0.5 + draw / 2)
 
 
@@ -109,13 +109,13 @@
         clock: Clock,
         rng: random.Random,
         scale: Callable[[], float] = lambda: 1.0,
-        may_wait: bool = False,
+        delay_start: bool = False,
         monitor: SourceMonitor | None = None,
     ) -> None:
         super().__init__()
         self._monitor = monitor or SourceMonitor(log)
         self._scale = scale
-        self._may_wait = may_wait
+        self._may_wait = delay_start
         self._source = source
         self._publication = publication
         self._rank = rank
@@ -126,7 +126,7 @@
         self._failures = 0
         self._not_before = 0.0
         self._unchanged: Unchanged | None = None
-        self.reads = 0
+        self.read_count = 0
 
     @property
     def answers(self) -> bool:
@@ -137,7 +137,7 @@
         """Read if it is due."""
         if self._may_wait:
             self._may_wait = False
-            wait = START_WAIT_SECONDS * (1.0 + self._rng.random())
+            wait = START_DELAY_SECONDS * (1.0 + self._rng.random())
             self._not_before = self._clock() + wait
         if not await self._wait_until_due():
             return
@@ -170,12 +170,12 @@
         publication = self._publication
         if publication.proof is None or publication.list_at is None:
             return float("inf")
-        return now - min(publication.proof.at, publication.list_at)
+        return now - min(publication.proof.sent_at, publication.list_at)
 
     async def _read(self) -> None:
         publication = self._publication
         before = publication.in_force, publication.list_tag
-        self.reads += 1
+        self.read_count += 1
         began = self._clock()
         listed, item = await self._read_one_epoch()
         news = before != (publication.in_force, publication.list_tag)
@@ -187,7 +187,7 @@
         """Read the list and what is needed to prove the configuration, again if the source's epoch
         changes meanwhile.
         """
-        for _ in range(EPOCH_TRIES):
+        for _ in range(MAX_EPOCH_READS):
             try:
                 return await self._read_parts()
             except EpochChangedError as error:
@@ -197,10 +197,10 @@
     async def _read_parts(self) -> tuple[ListRead, PublishedItem | None]:
         # The list goes first: a configuration without upstreams would refuse everything.
         sent_at = self._clock()
-        listed = await self._source.read_upstreams(READ_SECONDS)
+        listed = await self._source.read_upstreams(READ_STALL_SECONDS)
         self._check_epoch(listed.epoch, listed.epoch)
         self._monitor.receive_revision(listed.at, listed.epoch, self._publication.in_force)
-        self._publication.offer_list(listed.items, sent_at, self._clock(), listed.epoch)
+        self._publication.apply_list(listed.items, sent_at, self._clock(), listed.epoch)
         return listed, await self._prove(listed, sent_at)
 
     def _check_epoch(self, first: int, answered: int) -> None:
@@ -218,12 +218,12 @@
             self._record(known, sent_at)
             return None
         if known is not None:
-            change = await self._source.read_change(known.until, READ_SECONDS)
+            change = await self._source.read_change(known.until, READ_STALL_SECONDS)
             self._check_epoch(listed.epoch, change.epoch)
             if change.until is not None and change.until >= listed.at:
                 return self._take_change(known, change, change.until, sent_at)
         sent_at = self._clock()
-        read = await self._source.read_configuration(READ_SECONDS)
+        read = await self._source.read_configuration(READ_STALL_SECONDS)
         self._check_epoch(listed.epoch, read.epoch)
         # It was read after the list: what it doesn't show has not changed up to there.
         until = listed.at if read.item is None else max(listed.at, read.item.revision)
@@ -249,7 +249,7 @@
         return change.item
 
     def _offer(self, item: PublishedItem, sent_at: float) -> PublishedVersion | None:
-        return self._publication.offer_configuration(item, sent_at, self._clock())
+        return self._publication.apply_configuration(item, sent_at, self._clock())
 
     def _record(self, known: Unchanged, sent_at: float) -> None:
         """Keep what is known; it proves what is in force from when its read was sent."""
--- a/pondpin/relay/published/reports.py
+++ b/pondpin/relay/published/reports.py
@@ -15,15 +15,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EntriesLeftOut:
+class IgnoredEntries:
     """Entries of a restored list that are not used: older ones of upstreams that are listed, and
     those of lives that were given up before.
     """
 
     epoch: int
     older: int
-    gone: int
+    removed: int
 
 
 # A PublishedVersion is one of a lower version, which is left out.
-Report = EpochChange | PublishedVersion | EntriesLeftOut
+Report = EpochChange | PublishedVersion | IgnoredEntries
--- a/pondpin/relay/published/source_events.py
+++ b/pondpin/relay/published/source_events.py
@@ -80,4 +80,4 @@
             )
         )
     else:
-        log.write(ListEntriesLeftOut(epoch=report.epoch, older=report.older, gone=report.gone))
+        log.write(ListEntriesLeftOut(epoch=report.epoch, older=report.older, gone=report.removed))
--- a/pondpin/relay/published/source_monitor.py
+++ b/pondpin/relay/published/source_monitor.py
@@ -7,7 +7,7 @@
 from pondpin.relay.published.freshness import PublishedVersion
 
 # Bounds the log and the memory against a source that makes names up.
-MOST_UNKNOWN_HEADERS = 20
+MAX_UNKNOWN_HEADERS = 20
 LOGGED_CHARACTERS = 80
 # The name under which an odd epoch is logged.
 EPOCH = "epoch"
@@ -35,7 +35,7 @@
         from pondpin.relay.published.source_events import UnknownHeader
 
         logged = name[:LOGGED_CHARACTERS]
-        if logged not in self._logged and len(self._logged) < MOST_UNKNOWN_HEADERS:
+        if logged not in self._logged and len(self._logged) < MAX_UNKNOWN_HEADERS:
             self._logged.add(logged)
             self._log.write(UnknownHeader(name=logged, value=value[:LOGGED_CHARACTERS]))
 
--- a/pondpin/relay/published/told_versions.py
+++ b/pondpin/relay/published/told_versions.py
@@ -6,7 +6,7 @@
 
 # A newer configuration can be had while a peer tells of it; in a large fleet a neighbour is
 # heard every two seconds.
-NEWER_COUNTS_SECONDS = 2.5
+ANNOUNCEMENT_TTL_SECONDS = 2.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -17,7 +17,7 @@
     last_at: float
 
 
-class ToldVersions:
+class AnnouncedVersions:
     """Newer versions than the one in force; times by the steady clock."""
 
     def __init__(self) -> None:
@@ -34,7 +34,7 @@
         """Forget a version that can't be used."""
         self._told_by_version.pop(version, None)
 
-    def drop(self, in_force: PublishedVersion) -> None:
+    def drop_older(self, in_force: PublishedVersion) -> None:
         """Forget versions that are not newer than the one in force now."""
         self._told_by_version = {
             version: told
@@ -43,7 +43,7 @@
         }
 
     @property
-    def first_at(self) -> float | None:
+    def first_seen_at(self) -> float | None:
         """When the first word of any of them came."""
         return min((told.first_at for told in self._told_by_version.values()), default=None)
 
@@ -61,4 +61,4 @@
 
 
 def _counts(told: Told, now: float) -> bool:
-    return now - told.last_at < NEWER_COUNTS_SECONDS
+    return now - told.last_at < ANNOUNCEMENT_TTL_SECONDS
--- a/pondpin/tests/test_relay_documents.py
+++ b/pondpin/tests/test_relay_documents.py
@@ -15,10 +15,10 @@
 from pondpin.platform.documents import PlatformDecoder
 from pondpin.platform.store import LONGEST_READ_SECONDS, PlatformStore
 from pondpin.relay.log import EventLog
-from pondpin.relay.published.differences import Kept, cut, difference, patch
-from pondpin.relay.published.document_fetch import BUSY_SECONDS, DocumentFetcher
+from pondpin.relay.published.differences import Kept, apply_delta, encode_delta, split_segments
+from pondpin.relay.published.document_fetch import BUSY_RETRY_SECONDS, DocumentFetcher
 from pondpin.relay.published.document_server import (
-    MOST_TRANSFERS,
+    MAX_TRANSFERS,
     TRANSFER_IDLE_SECONDS,
     DocumentServer,
 )
@@ -32,15 +32,15 @@
 )
 from pondpin.relay.published.freshness import PublishedVersion
 from pondpin.relay.published.packing import (
-    KEPT_PACKED,
+    MAX_CACHED_DOCUMENTS,
     PIECE_BYTES,
-    DocumentShelf,
+    PackedDocumentCache,
     pack,
     unpack,
 )
 from pondpin.relay.published.pieces import FetchPieceReply, FetchPieceRequest
 from pondpin.relay.published.publication import Publication
-from pondpin.relay.published.reader import READ_SECONDS
+from pondpin.relay.published.reader import READ_STALL_SECONDS
 from pondpin.standins.local_platform import sample_configuration
 from pondpin.standins.simulated_store import SimulatedStore
 from pondpin.standins.store_state import CONFIGURATION_KEY
@@ -85,13 +85,13 @@
             fleet = DocumentFleet(1, instances=1, routes=1000, rate=TEN_MEGABIT, seed=1)
             await fleet.start(SETTLE_SECONDS)
             (member,) = fleet.members
-            reads, carried = member.reader.reads, member.downlink.carried
+            reads, carried = member.reader.read_count, member.downlink.carried
             await asyncio.sleep(SETTLE_SECONDS)
             await fleet.stop()
             proof = member.publication.proof
             assert proof is not None
             self.assertLess(proof.age(asyncio.get_running_loop().time()), APPLY_SECONDS)
-            self.assertGreater(member.reader.reads - reads, 5)
+            self.assertGreater(member.reader.read_count - reads, 5)
             value = fleet.store.item_by_key[CONFIGURATION_KEY].value
             self.assertLess(member.downlink.carried - carried, len(value))
 
@@ -102,7 +102,7 @@
             store = SimulatedStore()
             store.put(CONFIGURATION_KEY, {"routes": random_routes(MOST_ROUTES, 1)})
             source = PlatformStore(SimulatedHttp(store, Link(TEN_MEGABIT)), "store:1")
-            item = (await source.read_configuration(READ_SECONDS)).item
+            item = (await source.read_configuration(READ_STALL_SECONDS)).item
             assert item is not None
             self.assertEqual(item.value, store.item_by_key[CONFIGURATION_KEY].value)
 
@@ -116,8 +116,8 @@
             began = loop.time()
             source = PlatformStore(SimulatedHttp(store, Link(TURN_BYTES / 0.9)), "store:1")
             with self.assertRaises(CallFailedError):
-                await source.read_configuration(READ_SECONDS)
-            self.assertLessEqual(loop.time() - began, LONGEST_READ_SECONDS + READ_SECONDS)
+                await source.read_configuration(READ_STALL_SECONDS)
+            self.assertLessEqual(loop.time() - began, LONGEST_READ_SECONDS + READ_STALL_SECONDS)
 
         run_virtual(work())
 
@@ -126,7 +126,7 @@
             http = SimulatedHttp(SimulatedStore(), Link(TEN_MEGABIT))
             http.silent = True
             with self.assertRaises(CallFailedError):
-                await PlatformStore(http, "store:1").read_configuration(READ_SECONDS)
+                await PlatformStore(http, "store:1").read_configuration(READ_STALL_SECONDS)
 
         run_virtual(work())
 
@@ -145,18 +145,18 @@
     )
     def test_the_new_value_is_made_exactly(self, old: list[bytes], new: list[bytes]) -> None:
         before, after = b"".join(old), b"".join(new)
-        self.assertEqual(patch(before, difference(before, after)), after)
-        self.assertEqual(b"".join(cut(after)), after)
+        self.assertEqual(apply_delta(before, encode_delta(before, after)), after)
+        self.assertEqual(b"".join(split_segments(after)), after)
 
     def test_steps_grow_with_the_change_and_not_with_the_value(self) -> None:
         changed = (*ROUTES[:200], b'{"name":"new"},', *ROUTES[200:300], *ROUTES[301:])
-        steps = difference(b"".join(ROUTES), b"".join(changed))
+        steps = encode_delta(b"".join(ROUTES), b"".join(changed))
         self.assertLessEqual(len(steps), 4)
-        self.assertEqual(patch(b"".join(ROUTES), steps), b"".join(changed))
+        self.assertEqual(apply_delta(b"".join(ROUTES), steps), b"".join(changed))
 
     def test_steps_for_another_value_are_refused(self) -> None:
         with self.assertRaises(ValueError):
-            patch(b"a}", (Kept(0, 2),))
+            apply_delta(b"a}", (Kept(0, 2),))
 
 
 class PackingTest(unittest.TestCase):
@@ -196,20 +196,20 @@
         self.assertEqual(decode_list(unpack(packed.data, lambda _: old)), tuple(items))
 
     def test_the_shelf_packs_once_and_keeps_a_few(self) -> None:
-        shelf = DocumentShelf()
-        first = shelf.packed(self.new, self.old)
-        self.assertIs(shelf.packed(self.new, self.old), first)
-        self.assertIs(shelf.by_id(first.id), first)
-        for tag in range(KEPT_PACKED):
-            shelf.packed(encode_list((), 100 + tag), None)
-        self.assertIsNone(shelf.by_id(first.id))
+        shelf = PackedDocumentCache()
+        first = shelf.get_or_pack(self.new, self.old)
+        self.assertIs(shelf.get_or_pack(self.new, self.old), first)
+        self.assertIs(shelf.get(first.id), first)
+        for tag in range(MAX_CACHED_DOCUMENTS):
+            shelf.get_or_pack(encode_list((), 100 + tag), None)
+        self.assertIsNone(shelf.get(first.id))
 
 
 def published(*revisions: int) -> Publication:
     """A publication that had these revisions in force, one after the other."""
     publication = Publication(PlatformDecoder(), lambda _: None, lambda _: None, lambda *_: None)
     for revision in revisions:
-        publication.offer_configuration(configuration(revision), NOW - 1.0, NOW)
+        publication.apply_configuration(configuration(revision), NOW - 1.0, NOW)
     return publication
 
 
@@ -227,20 +227,20 @@
         self.server = DocumentServer(self.publication, lambda: self.now)
 
     def ask(self, host: str, reply: FetchPieceReply | None = None, got: int = 0) -> FetchPieceReply:
-        document = reply.document if reply is not None else 0
+        document = reply.packed_id if reply is not None else 0
         request = FetchPieceRequest(
-            kind=DocumentKind.CONFIGURATION, document=document, offset=got, host=host
+            kind=DocumentKind.CONFIGURATION, packed_id=document, offset=got, host=host
         )
         return self.server.answer(request, self.now)
 
     def test_a_few_are_served_and_the_others_told_at_once(self) -> None:
-        first = [self.ask(f"host{number}") for number in range(MOST_TRANSFERS + 1)]
-        self.assertEqual([reply.busy for reply in first], [False] * MOST_TRANSFERS + [True])
+        first = [self.ask(f"host{number}") for number in range(MAX_TRANSFERS + 1)]
+        self.assertEqual([reply.busy for reply in first], [False] * MAX_TRANSFERS + [True])
         self.assertEqual(len(first[0].piece), PIECE_BYTES)
         self.assertEqual(first[-1].piece, b"")
 
     def test_a_place_is_free_again_after_the_last_piece_or_silence(self) -> None:
-        first = [self.ask(f"host{number}") for number in range(MOST_TRANSFERS)]
+        first = [self.ask(f"host{number}") for number in range(MAX_TRANSFERS)]
         self.ask("host0", first[0], first[0].size - 1)
         self.assertFalse(self.ask("late").busy)
         self.assertTrue(self.ask("later").busy)
@@ -249,9 +249,9 @@
 
     def test_a_transfer_that_began_ends_though_there_is_a_newer_one(self) -> None:
         first = self.ask("host")
-        self.publication.offer_configuration(configuration(2), self.now, self.now)
+        self.publication.apply_configuration(configuration(2), self.now, self.now)
         second = self.ask("host", first, PIECE_BYTES)
-        self.assertEqual((second.document, second.version), (first.document, 1))
+        self.assertEqual((second.packed_id, second.version), (first.packed_id, 1))
         self.assertEqual(second.age_ms, -1)
         self.assertEqual(self.ask("other").version, 2)
 
@@ -261,16 +261,16 @@
 
     def test_who_has_the_newest_gets_nothing(self) -> None:
         for have in (1, 2):
-            request = FetchPieceRequest(kind=DocumentKind.CONFIGURATION, have=have, host="host")
-            self.assertEqual(self.server.answer(request, self.now).document, 0)
-        self.publication.offer_list((), self.now, self.now)
+            request = FetchPieceRequest(kind=DocumentKind.CONFIGURATION, known=have, host="host")
+            self.assertEqual(self.server.answer(request, self.now).packed_id, 0)
+        self.publication.apply_list((), self.now, self.now)
         tag = self.publication.list_tag
-        request = FetchPieceRequest(kind=DocumentKind.UPSTREAMS, have=tag, host="host")
-        self.assertEqual(self.server.answer(request, self.now).document, 0)
+        request = FetchPieceRequest(kind=DocumentKind.UPSTREAMS, known=tag, host="host")
+        self.assertEqual(self.server.answer(request, self.now).packed_id, 0)
         request = FetchPieceRequest(kind=DocumentKind.UPSTREAMS, host="host")
         self.assertEqual(self.server.answer(request, self.now).version, tag)
         strange = FetchPieceRequest(kind=9, host="host")
-        self.assertEqual(self.server.answer(strange, self.now).document, 0)
+        self.assertEqual(self.server.answer(strange, self.now).packed_id, 0)
 
 
 class ScriptedPeers:
@@ -309,7 +309,7 @@
             loop = asyncio.get_running_loop()
             servers = {host: DocumentServer(published(2, 3), loop.time) for host in offers}
             for host in busy:
-                for number in range(MOST_TRANSFERS):
+                for number in range(MAX_TRANSFERS):
                     request = FetchPieceRequest(kind=DocumentKind.CONFIGURATION, host=f"x{number}")
                     servers[host].answer(request, loop.time())
             peers = ScriptedPeers(servers)
@@ -346,7 +346,7 @@
         own = published()
         peers = self.play(own, {}, {"a": False}, frozenset(("a",)))
         self.assertEqual(own.revision, 3)
-        most = TRANSFER_IDLE_SECONDS / BUSY_SECONDS + 10
+        most = TRANSFER_IDLE_SECONDS / BUSY_RETRY_SECONDS + 10
         self.assertLess(len(peers.asked), most)
 
     def test_a_near_peer_goes_before_a_far_one(self) -> None:
@@ -362,7 +362,7 @@
         self.play(own, {}, {"a": False})
         assert own.proof is not None
         # The server's proof was a second old when the first piece was asked for.
-        self.assertLessEqual(own.proof.at, NOW - 1.0)
+        self.assertLessEqual(own.proof.sent_at, NOW - 1.0)
 
 
 if __name__ == "__main__":
--- a/pondpin/tests/test_relay_lifecycle.py
+++ b/pondpin/tests/test_relay_lifecycle.py
@@ -15,7 +15,7 @@
 from pondpin.relay.entry import RelayEntry
 from pondpin.relay.model import RequestFacts, life_of
 from pondpin.relay.published.freshness import Proof, PublishedVersion
-from pondpin.relay.published.reader import SHORTEST_KEY_MS
+from pondpin.relay.published.reader import BASE_KEY_MS
 from pondpin.relay_settings import RelayLimits
 from pondpin.standins.local_platform import (
     HOST,
@@ -140,7 +140,7 @@
         async def work(platform: LocalPlatform) -> None:
             entry = platform.entries[0]
             for configuration_ms, key_ms, needs_proof, scale in (
-                (4000.0, 5000.0, True, 5000.0 / SHORTEST_KEY_MS),
+                (4000.0, 5000.0, True, 5000.0 / BASE_KEY_MS),
                 (4000.0, 5000.0, False, 2.0),
                 (2000.0, 9000.0, True, 1.0),
                 (1000.0, 1000.0, True, 1.0),
--- a/pondpin/tests/test_relay_lives.py
+++ b/pondpin/tests/test_relay_lives.py
@@ -118,22 +118,22 @@
     def setUp(self) -> None:
         self.recorder = Recorder()
         self.publication = self.recorder.publication
-        self.publication.offer_configuration(configuration_item(1, 1), None, NOW)
+        self.publication.apply_configuration(configuration_item(1, 1), None, NOW)
         self.good = entry_item("good", 2, engine_entry())
         self.now = NOW
 
     def offer(self, *items: PublishedItem) -> list[str]:
         self.now += 0.7
-        self.publication.offer_list([self.good, *items], self.now, self.now)
+        self.publication.apply_list([self.good, *items], self.now, self.now)
         return self.recorder.listed
 
     def test_an_odd_entry_takes_the_good_one_at_its_key_out_and_is_told_once(self) -> None:
         self.assertEqual(self.offer(entry_item("a", 3, engine_entry())), ["good", "a"])
         odd = entry_item("a", 4, engine_entry(state="retired"))
         self.assertEqual(self.offer(odd), ["good"])
-        self.assertEqual(self.recorder.gone, ["a"])
+        self.assertEqual(self.recorder.removed, ["a"])
         self.assertEqual(self.offer(odd, entry_item("b", 5, engine_entry())), ["good", "b"])
-        self.assertEqual(len(self.recorder.refused), 1)
+        self.assertEqual(len(self.recorder.rejected), 1)
         self.assertEqual(self.offer(entry_item("a", 6, engine_entry())), ["good", "a"])
 
     def test_an_odd_entry_is_out_at_once_also_while_the_source_comes_back(self) -> None:
@@ -141,24 +141,24 @@
         self.now += 30
         odd = PublishedItem("servers/a", 4, b"\xff")
         self.assertEqual(self.offer(odd), ["good"])
-        self.assertEqual(self.recorder.gone, ["a"])
+        self.assertEqual(self.recorder.removed, ["a"])
 
     def test_a_service_that_no_configuration_names_has_no_upstreams(self) -> None:
         other = entry_item("a", 3, engine_entry(service="unheard"))
         self.assertEqual(self.offer(other), ["good"])
         self.assertEqual(self.offer(other, entry_item("b", 4, engine_entry())), ["good", "b"])
-        self.assertEqual(len(self.recorder.refused), 1)
+        self.assertEqual(len(self.recorder.rejected), 1)
         document = msgspec.json.decode(configuration_item(2, 9).value)
         document["services"].append({"name": "unheard", "healthPath": "/healthz", "maxConns": 9})
         named = PublishedItem("op/config", 9, msgspec.json.encode(document))
-        self.publication.offer_configuration(named, None, NOW)
+        self.publication.apply_configuration(named, None, NOW)
         self.assertEqual(self.recorder.listed, ["good", "a", "b"])
 
     def test_a_service_that_is_not_named_takes_the_good_entry_out(self) -> None:
         self.offer(entry_item("a", 3, engine_entry()))
         self.assertEqual(self.offer(entry_item("a", 4, engine_entry(service="unheard"))), ["good"])
-        self.assertEqual(self.recorder.gone, ["a"])
-        self.assertEqual(len(self.recorder.refused), 1)
+        self.assertEqual(self.recorder.removed, ["a"])
+        self.assertEqual(len(self.recorder.rejected), 1)
         self.assertEqual(self.offer(entry_item("a", 5, engine_entry())), ["good", "a"])
 
     def test_an_odd_key_does_not_touch_the_upstream_of_its_last_part(self) -> None:
@@ -166,13 +166,13 @@
         odd = entry_item("x/a", 4, engine_entry(state="draining"))
         self.assertEqual(self.offer(entry_item("a", 3, engine_entry()), odd), ["good", "a"])
         self.assertEqual(self.offer(entry_item("a", 3, engine_entry())), ["good", "a"])
-        self.assertEqual(self.recorder.gone, [])
+        self.assertEqual(self.recorder.removed, [])
 
     def test_the_list_may_come_before_the_configuration(self) -> None:
         recorder = Recorder()
-        recorder.publication.offer_list([self.good], NOW, NOW)
-        self.assertEqual(recorder.refused, [])
-        recorder.publication.offer_configuration(configuration_item(1, 1), None, NOW)
+        recorder.publication.apply_list([self.good], NOW, NOW)
+        self.assertEqual(recorder.rejected, [])
+        recorder.publication.apply_configuration(configuration_item(1, 1), None, NOW)
         self.assertEqual(recorder.listed, ["good"])
 
     @given(
@@ -198,17 +198,17 @@
     ) -> None:
         recorder = Recorder()
         publication = recorder.publication
-        publication.offer_configuration(configuration_item(1, 1), None, NOW)
-        publication.offer_list([self.good, entry_item("a", 3, engine_entry())], NOW, NOW)
+        publication.apply_configuration(configuration_item(1, 1), None, NOW)
+        publication.apply_list([self.good, entry_item("a", 3, engine_entry())], NOW, NOW)
         entry = {name: item for name, item in engine_entry().items() if name not in missing}
         value = msgspec.json.encode(entry | changes) + (tail if spoils else b"")
-        publication.offer_list([self.good, PublishedItem("servers/a", 4, value)], NOW + 1, NOW + 1)
+        publication.apply_list([self.good, PublishedItem("servers/a", 4, value)], NOW + 1, NOW + 1)
         self.assertIn("good", recorder.listed)
         if "a" in recorder.listed:
-            self.assertEqual(recorder.refused, [])
+            self.assertEqual(recorder.rejected, [])
             self.assert_sound(value)
         else:
-            self.assertEqual((len(recorder.refused), recorder.gone), (1, ["a"]))
+            self.assertEqual((len(recorder.rejected), recorder.removed), (1, ["a"]))
 
     def assert_sound(self, value: bytes) -> None:
         entry = msgspec.json.decode(value)
@@ -223,7 +223,7 @@
     def setUp(self) -> None:
         self.recorder = Recorder()
         self.publication = self.recorder.publication
-        self.publication.offer_configuration(configuration_item(1, 1), None, NOW)
+        self.publication.apply_configuration(configuration_item(1, 1), None, NOW)
         self.now = NOW
 
     def offer(self, revision: int, born: int | None, **changes: Any) -> int | None:
@@ -231,20 +231,20 @@
         self.now += 0.7
         said = {} if born is None else {"born": born}
         item = entry_item("a", revision, engine_entry(**said, **changes))
-        self.publication.offer_list([item], self.now, self.now)
-        return self.recorder.lives.get("a")
+        self.publication.apply_list([item], self.now, self.now)
+        return self.recorder.born_by_id.get("a")
 
     def test_the_greater_start_is_the_later_life_however_late_it_comes(self) -> None:
         self.assertEqual(self.offer(2, LATER), LATER)
         self.assertEqual(self.offer(3, FIRST, state="draining"), LATER)
-        self.assertEqual(self.recorder.gone, [])
-        self.assertEqual(len(self.recorder.refused), 1)
+        self.assertEqual(self.recorder.removed, [])
+        self.assertEqual(len(self.recorder.rejected), 1)
         self.assertEqual(self.offer(4, LATER + 1), LATER + 1)
 
     def test_an_earlier_life_does_not_come_back_when_the_entry_was_gone(self) -> None:
         self.offer(2, LATER)
-        self.publication.offer_list([], self.now + 1, self.now + 1)
-        self.assertEqual(self.recorder.gone, ["a"])
+        self.publication.apply_list([], self.now + 1, self.now + 1)
+        self.assertEqual(self.recorder.removed, ["a"])
         self.now += 1
         self.assertIsNone(self.offer(3, FIRST))
         self.assertEqual(self.offer(4, LATER), LATER)
@@ -252,7 +252,7 @@
     def test_an_entry_that_says_no_start_any_more_is_another_writers(self) -> None:
         self.offer(2, FIRST)
         self.assertIsNone(self.offer(3, None))
-        self.assertEqual(self.recorder.gone, ["a"])
+        self.assertEqual(self.recorder.removed, ["a"])
 
     def test_a_worker_that_says_its_start_for_the_first_time(self) -> None:
         self.assertIsNone(self.offer(2, None))
--- a/pondpin/tests/test_relay_notice_ways.py
+++ b/pondpin/tests/test_relay_notice_ways.py
@@ -22,7 +22,7 @@
 from pondpin.relay.log import EventLog
 from pondpin.relay.model import AnswerHead, ListedUpstream, life_of
 from pondpin.relay.ports import PartPlace
-from pondpin.relay.published.publication import RELIST_SECONDS
+from pondpin.relay.published.publication import RELIST_GRACE_SECONDS
 from pondpin.relay.upstreams.hearing import NoticeHandler
 from pondpin.relay.upstreams.probe import is_probe_due
 from pondpin.relay.upstreams.state import UpstreamState
@@ -194,7 +194,7 @@
             platform.store.delete(key)
             await platform.until(
                 lambda: all("plain-0" not in entry.table.by_id for entry in platform.entries),
-                RELIST_SECONDS + 10,
+                RELIST_GRACE_SECONDS + 10,
             )
             platform.store.put(key, msgspec.json.decode(kept))
             await platform.until(
--- a/pondpin/tests/test_relay_publication.py
+++ b/pondpin/tests/test_relay_publication.py
@@ -14,30 +14,30 @@
 from pondpin.relay.model import ListedUpstream, RelayConfiguration
 from pondpin.relay.ports import ConfigurationChange, ConfigurationRead, ListRead
 from pondpin.relay.published.documents import (
-    KEPT_VERSIONS,
+    MAX_RECENT_DOCUMENTS,
     DocumentKind,
     PublishedItem,
     hash_content,
 )
 from pondpin.relay.published.freshness import Proof, PublishedVersion
 from pondpin.relay.published.publication import (
-    ABSENCE_SECONDS,
-    RELIST_SECONDS,
+    OUTAGE_SECONDS,
+    RELIST_GRACE_SECONDS,
     ListChange,
     Publication,
 )
 from pondpin.relay.published.reader import (
-    FIRST_AGE_SECONDS,
-    LAST_RANK,
-    LONGEST_BACKOFF_SECONDS,
-    RANK_SECONDS,
-    START_WAIT_SECONDS,
+    MAX_BACKOFF_SECONDS,
+    MAX_RANK,
+    RANK_DELAY_SECONDS,
+    RENEWAL_AGE_SECONDS,
+    START_DELAY_SECONDS,
     ReaderController,
     backoff_seconds,
     is_due,
 )
 from pondpin.relay.published.reports import Report
-from pondpin.relay.published.told_versions import NEWER_COUNTS_SECONDS
+from pondpin.relay.published.told_versions import ANNOUNCEMENT_TTL_SECONDS
 from pondpin.standins.local_platform import sample_configuration, sample_entry
 from pondpin.tests.support import FakeClock, ListLog, run_async
 
@@ -49,7 +49,7 @@
     return PublishedItem("op/config", revision, value, epoch)
 
 
-def published(version: int, revision: int, epoch: int = 0) -> PublishedVersion:
+def published_version(version: int, revision: int, epoch: int = 0) -> PublishedVersion:
     """How a sample configuration is named."""
     content = hash_content(configuration_item(version, revision).value)
     return PublishedVersion(version, epoch, revision, content)
@@ -68,12 +68,12 @@
 
     def __init__(self) -> None:
         self.versions: list[int] = []
-        self.refused: list[str] = []
-        self.gone: list[str] = []
+        self.rejected: list[str] = []
+        self.removed: list[str] = []
         self.reports: list[Report] = []
         self.listed: list[str] = []
         self.entries: tuple[ListedUpstream, ...] = ()
-        self.lives: dict[str, int] = {}
+        self.born_by_id: dict[str, int] = {}
         self.publication = Publication(
             PlatformDecoder(), self.take, self.take_list, self.note_refused, self.reports.append
         )
@@ -82,13 +82,13 @@
         self.versions.append(configuration.version)
 
     def take_list(self, change: ListChange) -> None:
-        self.gone += change.missing
+        self.removed += change.removed_ids
         self.entries = change.listed
         self.listed = [item.id for item in change.listed]
-        self.lives = {item.id: item.born for item in change.listed if item.born is not None}
+        self.born_by_id = {item.id: item.born for item in change.listed if item.born is not None}
 
     def note_refused(self, kind: DocumentKind, key: str, reason: str) -> None:
-        self.refused.append(reason)
+        self.rejected.append(reason)
 
 
 class ConfigurationTest(unittest.TestCase):
@@ -99,12 +99,12 @@
     def offer(
         self, version: int, revision: int, read_at: float | None = None, epoch: int = 0
     ) -> None:
-        self.publication.offer_configuration(
+        self.publication.apply_configuration(
             configuration_item(version, revision, epoch), read_at, NOW
         )
 
     def proof(self, version: int, revision: int, at: float) -> Proof:
-        return Proof(published(version, revision), at)
+        return Proof(published_version(version, revision), at)
 
     def test_an_older_revision_never_comes_back(self) -> None:
         self.offer(5, 50, NOW)
@@ -123,28 +123,28 @@
         self.offer(5, 50, NOW)
         broken = PublishedItem("op/config", 51, b'{"version": 6, "routes": [{"name": 3}]}')
         for _ in range(2):
-            found = self.publication.offer_configuration(broken, NOW + 1, NOW)
+            found = self.publication.apply_configuration(broken, NOW + 1, NOW)
             self.assertIsNone(found)
         self.assertEqual(self.recorder.versions, [5])
-        self.assertEqual(len(self.recorder.refused), 1)
+        self.assertEqual(len(self.recorder.rejected), 1)
         # The old version isn't proved by a read that found another one.
         self.assertEqual(self.publication.proof, self.proof(5, 50, NOW))
 
     def test_refused_value_does_not_hide_sound_one_of_lower_revision(self) -> None:
         self.offer(5, 50, NOW)
         broken = PublishedItem("op/config", 90, b"{}")
-        self.publication.offer_configuration(broken, NOW + 1, NOW)
+        self.publication.apply_configuration(broken, NOW + 1, NOW)
         self.offer(6, 60, NOW + 2)
         self.assertEqual(self.recorder.versions, [5, 6])
 
     def test_an_unsound_version_of_a_peer_is_not_waited_for(self) -> None:
         self.offer(5, 50, NOW)
         broken = PublishedItem("op/config", 90, b"{}")
-        self.publication.offer_configuration(broken, None, NOW, from_peer=True)
+        self.publication.apply_configuration(broken, None, NOW, from_peer=True)
         told = PublishedVersion(6, 0, 90)
         self.assertTrue(self.publication.receive_peer_version(told, NOW))
-        self.publication.refuse(told)
-        self.assertFalse(self.publication.wants(told))
+        self.publication.reject(told)
+        self.assertFalse(self.publication.accepts(told))
         self.assertFalse(self.publication.receive_peer_version(told, NOW))
         self.assertEqual(self.publication.behind_seconds(NOW + 1.0), 0.0)
 
@@ -153,31 +153,33 @@
         self.offer(4, 60)
         self.offer(4, 60)
         self.assertEqual(self.recorder.versions, [5])
-        self.assertEqual(self.recorder.reports, [published(4, 60)])
+        self.assertEqual(self.recorder.reports, [published_version(4, 60)])
 
     def test_how_long_a_newer_configuration_is_known_of(self) -> None:
         publication = self.publication
         self.offer(5, 50)
-        self.assertFalse(publication.receive_peer_version(published(5, 50), NOW))
-        self.assertTrue(publication.receive_peer_version(published(6, 60), NOW))
-        self.assertFalse(publication.receive_peer_version(published(6, 60), NOW + 1.0))
-        publication.receive_peer_version(published(7, 70), NOW + 2.0)
+        self.assertFalse(publication.receive_peer_version(published_version(5, 50), NOW))
+        self.assertTrue(publication.receive_peer_version(published_version(6, 60), NOW))
+        self.assertFalse(publication.receive_peer_version(published_version(6, 60), NOW + 1.0))
+        publication.receive_peer_version(published_version(7, 70), NOW + 2.0)
         self.assertEqual(publication.behind_seconds(NOW + 2.0), 2.0)
         # Nobody tells of 60 any more: who had it may be gone.
-        late = NOW + 1.0 + NEWER_COUNTS_SECONDS
+        late = NOW + 1.0 + ANNOUNCEMENT_TTL_SECONDS
         self.assertEqual(publication.behind_seconds(late), late - NOW - 2.0)
         self.offer(6, 60)
-        self.assertEqual(publication.newer_heard_at, NOW)
+        self.assertEqual(publication.newer_seen_at, NOW)
         self.assertEqual(publication.behind_seconds(NOW + 3.0), 1.0)
         self.offer(7, 70)
         self.assertEqual(publication.behind_seconds(NOW + 3.0), 0.0)
 
     def test_the_last_configurations_are_kept_for_differences(self) -> None:
-        for number in range(1, KEPT_VERSIONS + 3):
+        for number in range(1, MAX_RECENT_DOCUMENTS + 3):
             self.offer(number, number * 10)
-        find = self.publication.kept_configurations.find
-        kept = [number for number in range(9) if find(published(number, 1).content) is not None]
-        self.assertEqual(len(kept), KEPT_VERSIONS)
+        find = self.publication.recent_configurations.get
+        kept = [
+            number for number in range(9) if find(published_version(number, 1).content) is not None
+        ]
+        self.assertEqual(len(kept), MAX_RECENT_DOCUMENTS)
         self.assertEqual(kept[-1] * 10, self.publication.revision)
 
     def test_a_proof_of_a_newer_version_proves_nothing_of_the_one_in_force(self) -> None:
@@ -201,33 +203,33 @@
     def setUp(self) -> None:
         self.recorder = Recorder()
         self.publication = self.recorder.publication
-        self.publication.offer_configuration(configuration_item(1, 1), None, NOW)
+        self.publication.apply_configuration(configuration_item(1, 1), None, NOW)
         self.both = [server_item("a", 1), server_item("b", 2)]
-        self.publication.offer_list(self.both, NOW, NOW)
+        self.publication.apply_list(self.both, NOW, NOW)
 
     def test_a_missing_entry_is_gone_at_once_while_reads_go_on(self) -> None:
-        self.publication.offer_list(self.both[:1], NOW + 0.7, NOW + 0.7)
-        self.assertEqual(self.recorder.gone, ["b"])
+        self.publication.apply_list(self.both[:1], NOW + 0.7, NOW + 0.7)
+        self.assertEqual(self.recorder.removed, ["b"])
 
     def test_a_lapsed_entry_has_time_to_come_back(self) -> None:
-        back = NOW + ABSENCE_SECONDS + 1
-        self.publication.offer_list(self.both[:1], back, back)
-        self.publication.settle(back + RELIST_SECONDS - 0.1)
-        self.assertEqual(self.recorder.gone, [])
+        back = NOW + OUTAGE_SECONDS + 1
+        self.publication.apply_list(self.both[:1], back, back)
+        self.publication.apply_pending(back + RELIST_GRACE_SECONDS - 0.1)
+        self.assertEqual(self.recorder.removed, [])
         self.assertEqual(self.recorder.listed, ["a", "b"])
-        self.publication.offer_list([self.both[0], server_item("b", 9)], back + 2, back + 2)
-        self.publication.settle(back + 10)
-        self.assertEqual(self.recorder.gone, [])
+        self.publication.apply_list([self.both[0], server_item("b", 9)], back + 2, back + 2)
+        self.publication.apply_pending(back + 10)
+        self.assertEqual(self.recorder.removed, [])
 
     def test_a_lapsed_entry_that_stays_away_is_gone(self) -> None:
-        back = NOW + ABSENCE_SECONDS + 1
-        self.publication.offer_list(self.both[:1], back, back)
-        self.publication.settle(back + RELIST_SECONDS)
-        self.assertEqual(self.recorder.gone, ["b"])
+        back = NOW + OUTAGE_SECONDS + 1
+        self.publication.apply_list(self.both[:1], back, back)
+        self.publication.apply_pending(back + RELIST_GRACE_SECONDS)
+        self.assertEqual(self.recorder.removed, ["b"])
 
     def test_an_older_reading_changes_nothing(self) -> None:
-        self.publication.offer_list(self.both[:1], NOW - 1, NOW + 1)
-        self.assertEqual(self.recorder.gone, [])
+        self.publication.apply_list(self.both[:1], NOW - 1, NOW + 1)
+        self.assertEqual(self.recorder.removed, [])
 
 
 class FakeSource:
@@ -287,20 +289,20 @@
         run_async(self.reader.step())
 
     def test_the_first_in_rank_reads_and_the_others_wait(self) -> None:
-        self.assertTrue(is_due(FIRST_AGE_SECONDS, 0))
-        self.assertFalse(is_due(FIRST_AGE_SECONDS, 1))
+        self.assertTrue(is_due(RENEWAL_AGE_SECONDS, 0))
+        self.assertFalse(is_due(RENEWAL_AGE_SECONDS, 1))
         self.assertTrue(is_due(float("inf"), 99))
         # Even the last in rank reads before the two seconds of a configuration's bound.
-        latest = FIRST_AGE_SECONDS + LAST_RANK * RANK_SECONDS
+        latest = RENEWAL_AGE_SECONDS + MAX_RANK * RANK_DELAY_SECONDS
         self.assertFalse(is_due(latest - 0.01, 99))
         self.assertTrue(is_due(latest, 99))
         # Even the last in rank reads before the two seconds of a configuration's bound.
         self.assertLess(latest, 1.9)
 
     def test_longer_bounds_make_reads_rarer(self) -> None:
-        self.assertFalse(is_due(1.5 * FIRST_AGE_SECONDS - 0.01, 0, 1.5))
-        self.assertTrue(is_due(1.5 * FIRST_AGE_SECONDS, 0, 1.5))
-        latest = 1.5 * (FIRST_AGE_SECONDS + LAST_RANK * RANK_SECONDS)
+        self.assertFalse(is_due(1.5 * RENEWAL_AGE_SECONDS - 0.01, 0, 1.5))
+        self.assertTrue(is_due(1.5 * RENEWAL_AGE_SECONDS, 0, 1.5))
+        latest = 1.5 * (RENEWAL_AGE_SECONDS + MAX_RANK * RANK_DELAY_SECONDS)
         self.assertTrue(is_due(latest, 99, 1.5))
         # A key's bound of five seconds leaves a proof two thirds of it to get everywhere.
         self.assertLess(latest, 5.0 * 0.6)
@@ -314,11 +316,11 @@
             self.log,
             self.clock,
             random.Random(1),
-            may_wait=True,
+            delay_start=True,
         )
         self.step()
         self.assertEqual(self.source.reads, 0)
-        self.clock.advance(2 * START_WAIT_SECONDS)
+        self.clock.advance(2 * START_DELAY_SECONDS)
         self.step()
         self.assertEqual(self.source.reads, 1)
 
@@ -326,10 +328,10 @@
         self.source.slow = 0.9
         sent = self.clock.now
         self.step()
-        self.assertEqual(self.recorder.publication.proof, Proof(published(1, 10), sent))
+        self.assertEqual(self.recorder.publication.proof, Proof(published_version(1, 10), sent))
 
     def read_again(self) -> Proof | None:
-        self.clock.advance(FIRST_AGE_SECONDS)
+        self.clock.advance(RENEWAL_AGE_SECONDS)
         self.step()
         return self.recorder.publication.proof
 
@@ -337,17 +339,17 @@
         self.step()
         self.source.change = ConfigurationChange(None, 11)
         self.read_again()
-        sent = self.clock.now + FIRST_AGE_SECONDS
+        sent = self.clock.now + RENEWAL_AGE_SECONDS
         self.source.change = ConfigurationChange(None, None)
-        self.assertEqual(self.read_again(), Proof(published(1, 10), sent))
+        self.assertEqual(self.read_again(), Proof(published_version(1, 10), sent))
         self.assertEqual(self.source.whole_reads, 1)
 
     def test_changes_elsewhere_prove_the_configuration_as_of_the_list(self) -> None:
         self.step()
         self.source.at, self.source.change = 40, ConfigurationChange(None, 41)
         self.source.slow = 0.3
-        sent = self.clock.now + FIRST_AGE_SECONDS
-        self.assertEqual(self.read_again(), Proof(published(1, 10), sent))
+        sent = self.clock.now + RENEWAL_AGE_SECONDS
+        self.assertEqual(self.read_again(), Proof(published_version(1, 10), sent))
         self.assertEqual((self.source.whole_reads, self.source.since), (1, 11))
         self.read_again()
         self.assertEqual(self.source.since, 11)
@@ -360,8 +362,8 @@
         self.step()
         self.source.at = 50
         self.source.change = ConfigurationChange(configuration_item(2, 45), 50)
-        sent = self.clock.now + FIRST_AGE_SECONDS
-        self.assertEqual(self.read_again(), Proof(published(2, 45), sent))
+        sent = self.clock.now + RENEWAL_AGE_SECONDS
+        self.assertEqual(self.read_again(), Proof(published_version(2, 45), sent))
         self.assertEqual(self.recorder.versions, [1, 2])
         self.assertEqual(self.source.whole_reads, 1)
 
@@ -372,8 +374,8 @@
                 self.step()
                 self.source.at, self.source.change = 50, change
                 self.source.configuration = configuration_item(2, 45)
-                sent = self.clock.now + FIRST_AGE_SECONDS
-                self.assertEqual(self.read_again(), Proof(published(2, 45), sent))
+                sent = self.clock.now + RENEWAL_AGE_SECONDS
+                self.assertEqual(self.read_again(), Proof(published_version(2, 45), sent))
                 self.assertEqual(self.source.whole_reads, 2)
 
     def test_a_quiet_configuration_is_not_read_whole_again(self) -> None:
@@ -402,14 +404,14 @@
         self.assertEqual(len(changes), 1)
         self.assertFalse(self.reader.answers)
         self.source.failing = False
-        self.clock.advance(LONGEST_BACKOFF_SECONDS)
+        self.clock.advance(MAX_BACKOFF_SECONDS)
         self.step()
         self.assertTrue(self.reader.answers)
         self.assertTrue(any(getattr(event, "answers", False) for event in self.log.events))
 
     def test_backoff_has_jitter_and_an_end(self) -> None:
         self.assertLess(backoff_seconds(0, 0.0), backoff_seconds(0, 1.0))
-        self.assertLessEqual(backoff_seconds(50, 1.0), LONGEST_BACKOFF_SECONDS)
+        self.assertLessEqual(backoff_seconds(50, 1.0), MAX_BACKOFF_SECONDS)
 
 
 class LogTest(unittest.TestCase):
--- a/pondpin/tests/test_relay_rules.py
+++ b/pondpin/tests/test_relay_rules.py
@@ -30,7 +30,7 @@
     Proof,
     PublishedVersion,
     is_fresh,
-    later,
+    later_proof,
     peer_proof,
 )
 
@@ -180,9 +180,9 @@
 class FreshnessTest(unittest.TestCase):
     def test_the_later_read_counts(self) -> None:
         early, late = Proof(PublishedVersion(2), 5.0), Proof(PublishedVersion(1), 9.0)
-        self.assertEqual(later(early, late), late)
-        self.assertEqual(later(late, early), late)
-        self.assertEqual(later(None, early), early)
+        self.assertEqual(later_proof(early, late), late)
+        self.assertEqual(later_proof(late, early), late)
+        self.assertEqual(later_proof(None, early), early)
 
     def test_a_proof_of_a_newer_version_proves_nothing(self) -> None:
         older, newer = PublishedVersion(2, 1, 9), PublishedVersion(3, 1, 4)
@@ -222,7 +222,7 @@
         answered = asked + there
         read_at = answered - read_before
         proof = peer_proof(PublishedVersion(1), asked, read_before)
-        self.assertLessEqual(proof.at, read_at + 1e-9)
+        self.assertLessEqual(proof.sent_at, read_at + 1e-9)
         received = answered + back
         self.assertGreaterEqual(proof.age(received), received - read_at - 1e-9)
 
--- a/pondpin/tests/test_release_mix.py
+++ b/pondpin/tests/test_release_mix.py
@@ -32,7 +32,7 @@
 from pondpin.tests.test_relay_publication import (
     Recorder,
     configuration_item,
-    published,
+    published_version,
     server_item,
 )
 from pondpin.tools.gossip_fleet import GossipFleet
@@ -99,7 +99,7 @@
     found.receive_epoch(epoch, "its answer")
     for item in versions:
         source = configuration_item(item.version, item.revision, item.epoch)
-        found.offer_configuration(source, NOW, NOW)
+        found.apply_configuration(source, NOW, NOW)
     return found
 
 
@@ -146,7 +146,7 @@
 
 class DocumentsTest(unittest.TestCase):
     def test_earlier_release_gets_a_whole_configuration_that_it_can_read(self) -> None:
-        server = DocumentServer(publication(2, published(10, 34, 2)), lambda: NOW)
+        server = DocumentServer(publication(2, published_version(10, 34, 2)), lambda: NOW)
         asked = msgspec.msgpack.encode(
             EarlierRequest(DocumentKind.CONFIGURATION, 62, 0, 0, "10.0.0.1")
         )
@@ -157,7 +157,7 @@
         self.assertEqual((item.revision, item.value), (34, configuration_item(10, 1).value))
 
     def test_document_of_an_earlier_release_is_read(self) -> None:
-        server = DocumentServer(publication(0, published(10, 34)), lambda: NOW)
+        server = DocumentServer(publication(0, published_version(10, 34)), lambda: NOW)
         reply = server.answer(FetchPieceRequest(DocumentKind.CONFIGURATION, host="x"), NOW)
         item = decode_configuration(unpack(reply.piece, lambda _: None))
         self.assertEqual(item, configuration_item(10, 34))
@@ -174,22 +174,22 @@
         return server.answer(decode_request(encode_message(request)), NOW)
 
     def test_peer_that_has_the_newest_is_sent_nothing(self) -> None:
-        server = DocumentServer(publication(2, published(10, 34, 2)), lambda: NOW)
-        for have in (published(10, 34, 2), published(11, 20, 1)):
-            self.assertEqual(self.ask(server, have).document, 0)
+        server = DocumentServer(publication(2, published_version(10, 34, 2)), lambda: NOW)
+        for have in (published_version(10, 34, 2), published_version(11, 20, 1)):
+            self.assertEqual(self.ask(server, have).packed_id, 0)
 
     def test_peer_with_the_same_content_of_an_earlier_epoch_learns_the_later_one(self) -> None:
-        server = DocumentServer(publication(2, published(10, 34, 2)), lambda: NOW)
-        own = publication(1, published(10, 62, 1))
+        server = DocumentServer(publication(2, published_version(10, 34, 2)), lambda: NOW)
+        own = publication(1, published_version(10, 62, 1))
         reply = self.ask(server, own.in_force)
         self.assertLess(reply.size, 150)
-        item = decode_configuration(unpack(reply.piece, own.kept_configurations.find))
-        own.offer_configuration(item, NOW, NOW, from_peer=True)
-        self.assertEqual(own.in_force, published(10, 34, 2))
+        item = decode_configuration(unpack(reply.piece, own.recent_configurations.get))
+        own.apply_configuration(item, NOW, NOW, from_peer=True)
+        self.assertEqual(own.in_force, published_version(10, 34, 2))
 
     def test_base_of_an_equal_revision_of_another_epoch_is_not_used(self) -> None:
-        own = published(9, 34, 1)
-        server = DocumentServer(publication(2, published(10, 34, 2)), lambda: NOW)
+        own = published_version(9, 34, 1)
+        server = DocumentServer(publication(2, published_version(10, 34, 2)), lambda: NOW)
         reply = self.ask(server, own)
         item = decode_configuration(unpack(reply.piece, lambda _: None))
         self.assertEqual(item, configuration_item(10, 34, 2))
@@ -212,9 +212,9 @@
     def setUp(self) -> None:
         self.gossip = GossipFleet(centers=1, instances=1, seed=1).members[0]
         self.gossip.boot = OWN_BOOT
-        self.publication = publication(2, published(10, 34, 2))
+        self.publication = publication(2, published_version(10, 34, 2))
         self.gossip.publication = self.publication
-        self.publication.offer_list([server_item("a", 3)], NOW, NOW, 2)
+        self.publication.apply_list([server_item("a", 3)], NOW, NOW, 2)
         self.news = PublishedSync(self.gossip)
         self.offers = _Offers()
         self.news.__dict__["_fetcher"] = self.offers
@@ -236,22 +236,22 @@
 
     def test_digest_of_an_earlier_epoch_proves_and_lists_nothing(self) -> None:
         proof, list_at = self.publication.proof, self.publication.list_at
-        offers = self.receive(**self.told(published(10, 62, 1), 1), list_tag=5, list_age=0)
+        offers = self.receive(**self.told(published_version(10, 62, 1), 1), list_tag=5, list_age=0)
         self.assertEqual(offers, [])
         self.assertEqual((self.publication.proof, self.publication.list_at), (proof, list_at))
 
     def test_higher_version_of_an_earlier_epoch_is_fetched(self) -> None:
-        newer = published(11, 20, 1)
+        newer = published_version(11, 20, 1)
         self.assertEqual(self.receive(**self.told(newer, 1)), [replace(newer, content=0)])
         self.assertGreater(self.publication.behind_seconds(NOW + 7), 0.0)
 
     def test_peer_that_is_behind_in_the_same_epoch_proves_the_version_in_force(self) -> None:
-        older = published(6, 30, 2)
+        older = published_version(6, 30, 2)
         self.assertEqual(self.receive(**self.told(older, 2), list_age=-1), [])
         self.assertEqual(self.publication.proof, Proof(replace(older, content=0), NOW + 5))
 
     def test_peers_tell_of_a_new_epoch(self) -> None:
-        self.receive(**self.told(published(10, 34, 2), 3), list_tag=5, list_age=0)
+        self.receive(**self.told(published_version(10, 34, 2), 3), list_tag=5, list_age=0)
         self.assertEqual(self.publication.epoch, 3)
 
     def test_revision_of_an_earlier_release_proves_nothing_once_there_are_epochs(self) -> None:
@@ -261,7 +261,7 @@
         self.assertEqual(self.publication.proof, proof)
 
     def test_list_of_the_present_epoch_is_fetched(self) -> None:
-        told = self.told(published(10, 34, 2), 2)
+        told = self.told(published_version(10, 34, 2), 2)
         offers = self.receive(**told, list_tag=5, list_age=1000)
         self.assertEqual(offers, [ListOffer(5, 2, NOW + 4.0)])
 
@@ -272,41 +272,43 @@
     def setUp(self) -> None:
         self.recorder = Recorder()
         self.publication = self.recorder.publication
-        self.publication._peers_first_until = NOW + 0.25
+        self.publication._prefer_peers_until = NOW + 0.25
 
     def read_copy(self) -> None:
-        self.publication.offer_configuration(configuration_item(6, 34, 2), NOW + 0.1, NOW + 0.1)
+        self.publication.apply_configuration(configuration_item(6, 34, 2), NOW + 0.1, NOW + 0.1)
 
     def test_peers_version_goes_before_the_copys(self) -> None:
         self.read_copy()
-        self.assertTrue(self.publication.receive_peer_version(published(10, 62, 1), NOW + 0.2))
-        self.publication.settle(NOW + 0.3)
+        self.assertTrue(
+            self.publication.receive_peer_version(published_version(10, 62, 1), NOW + 0.2)
+        )
+        self.publication.apply_pending(NOW + 0.3)
         self.assertEqual(self.recorder.versions, [])
         peers = configuration_item(10, 62, 1)
-        self.publication.offer_configuration(peers, None, NOW + 0.4, from_peer=True)
-        self.publication.settle(NOW + 0.5)
+        self.publication.apply_configuration(peers, None, NOW + 0.4, from_peer=True)
+        self.publication.apply_pending(NOW + 0.5)
         self.assertEqual(self.recorder.versions, [10])
         # The read of the copy proves that nothing newer was published.
-        self.assertEqual(self.publication.proof, Proof(published(6, 34, 2), NOW + 0.1))
+        self.assertEqual(self.publication.proof, Proof(published_version(6, 34, 2), NOW + 0.1))
 
     def test_alone_the_copy_is_served(self) -> None:
         self.read_copy()
         self.assertEqual(self.recorder.versions, [])
-        self.publication.settle(NOW + 0.25)
+        self.publication.apply_pending(NOW + 0.25)
         self.assertEqual(self.recorder.versions, [6])
-        self.assertFalse(self.publication.hears_peers)
+        self.assertFalse(self.publication.peers_seen)
 
     def test_a_peer_without_anything_newer_ends_the_wait(self) -> None:
-        self.publication.receive_peer_version(published(6, 34, 2), NOW + 0.05)
+        self.publication.receive_peer_version(published_version(6, 34, 2), NOW + 0.05)
         self.read_copy()
         self.assertEqual(self.recorder.versions, [6])
 
     def test_a_peer_that_falls_silent_is_not_waited_for(self) -> None:
-        self.publication.receive_peer_version(published(10, 62, 1), NOW)
+        self.publication.receive_peer_version(published_version(10, 62, 1), NOW)
         self.read_copy()
-        self.publication.settle(NOW + 2.0)
+        self.publication.apply_pending(NOW + 2.0)
         self.assertEqual(self.recorder.versions, [])
-        self.publication.settle(NOW + 3.0)
+        self.publication.apply_pending(NOW + 3.0)
         self.assertEqual(self.recorder.versions, [6])
 
 
--- a/pondpin/tests/test_restore_machine.py
+++ b/pondpin/tests/test_restore_machine.py
@@ -112,15 +112,15 @@
         in_force = self.publication.in_force
         request = FetchPieceRequest(kind, host="x", version=in_force.version, epoch=in_force.epoch)
         reply = peer.server.answer(request, now)
-        if not reply.document:
+        if not reply.packed_id:
             return
         document = unpack(reply.piece, lambda _: None)
         read_at = now - reply.age_ms / MILLISECONDS if reply.age_ms >= 0 else None
         if kind is DocumentKind.CONFIGURATION:
             item = decode_configuration(document)
-            self.publication.offer_configuration(item, read_at, now, from_peer=True)
+            self.publication.apply_configuration(item, read_at, now, from_peer=True)
         elif read_at is not None:
-            self.publication.offer_list(decode_list(document), read_at, now, reply.epoch)
+            self.publication.apply_list(decode_list(document), read_at, now, reply.epoch)
 
 
 def read_all(member: Member) -> None:
@@ -239,7 +239,7 @@
             held = [
                 version
                 for number, (at, version) in enumerate(self.stored)
-                if number + 1 == len(self.stored) or self.stored[number + 1][0] >= proof.at
+                if number + 1 == len(self.stored) or self.stored[number + 1][0] >= proof.sent_at
             ]
             assert proof.newest.version >= min(held), (proof, self.stored)
 
--- a/pondpin/tests/test_source_monitor.py
+++ b/pondpin/tests/test_source_monitor.py
@@ -7,7 +7,7 @@
 from pondpin.relay.ports import SourceHead
 from pondpin.relay.published.freshness import PublishedVersion
 from pondpin.relay.published.source_events import SourceRewound, UnknownHeader
-from pondpin.relay.published.source_monitor import MOST_UNKNOWN_HEADERS, SourceMonitor
+from pondpin.relay.published.source_monitor import MAX_UNKNOWN_HEADERS, SourceMonitor
 from pondpin.standins.local_platform import LocalPlatform
 from pondpin.tests.support import ListLog, run_async, the_loop
 
@@ -34,9 +34,9 @@
         self.assertEqual(self.lines(UnknownHeader), [UnknownHeader(name="store-mood", value="1")])
 
     def test_lines_on_unknown_headers_are_bounded(self) -> None:
-        for number in range(3 * MOST_UNKNOWN_HEADERS):
+        for number in range(3 * MAX_UNKNOWN_HEADERS):
             self.monitor.receive_head(SourceHead(unknown=((f"store-{number}", "x" * 500),)))
-        self.assertEqual(len(self.log.events), MOST_UNKNOWN_HEADERS)
+        self.assertEqual(len(self.log.events), MAX_UNKNOWN_HEADERS)
 
     def test_the_store_adapter_passes_unknown_headers_of_every_answer_on(self) -> None:
         heads: list[SourceHead] = []
--- a/pondpin/tests/test_store_epochs.py
+++ b/pondpin/tests/test_store_epochs.py
@@ -11,7 +11,7 @@
 from pondpin.relay.ports import SourceHead as Head
 from pondpin.relay.published.documents import PublishedItem
 from pondpin.relay.published.freshness import Proof, PublishedVersion
-from pondpin.relay.published.reader import EPOCH_TRIES, FIRST_AGE_SECONDS, ReaderController
+from pondpin.relay.published.reader import MAX_EPOCH_READS, RENEWAL_AGE_SECONDS, ReaderController
 from pondpin.standins.local_platform import LocalPlatform
 from pondpin.standins.published_store import StoreFault
 from pondpin.tests.support import FakeClock, ListLog, run_async, the_loop
@@ -19,7 +19,7 @@
     FakeSource,
     Recorder,
     configuration_item,
-    published,
+    published_version,
 )
 
 HEADER = "store-era"
@@ -166,7 +166,7 @@
         self.read()
 
     def read(self) -> Proof | None:
-        self.clock.advance(FIRST_AGE_SECONDS)
+        self.clock.advance(RENEWAL_AGE_SECONDS)
         run_async(self.reader.step())
         return self.publication.proof
 
@@ -179,9 +179,9 @@
 
     def test_a_copy_that_is_behind_proves_that_nothing_newer_was_published(self) -> None:
         self.restore(6, 34)
-        self.assertEqual(self.read(), Proof(published(6, 34, 2), self.clock.now))
+        self.assertEqual(self.read(), Proof(published_version(6, 34, 2), self.clock.now))
         self.assertEqual(self.recorder.versions, [10])
-        self.assertEqual(self.publication.in_force, published(10, 62, 1))
+        self.assertEqual(self.publication.in_force, published_version(10, 62, 1))
 
     def test_a_version_written_after_the_restore_is_taken_below_the_old_revision(self) -> None:
         self.restore(6, 34)
@@ -219,7 +219,7 @@
     def test_a_list_of_one_epoch_and_a_value_of_another_prove_nothing(self) -> None:
         proof = self.publication.proof
         self.source.at = 70
-        self.source.next_epochs = [2, 3] * EPOCH_TRIES
+        self.source.next_epochs = [2, 3] * MAX_EPOCH_READS
         self.assertEqual(self.read(), proof)
         self.assertFalse(self.reader.answers)
 
@@ -237,7 +237,7 @@
         self.source.configuration = None
         proof = self.read()
         assert proof is not None
-        self.assertEqual(proof.at, self.clock.now)
+        self.assertEqual(proof.sent_at, self.clock.now)
         self.assertEqual(self.recorder.versions, [10])
 
     def test_the_same_version_with_other_bytes_in_a_later_epoch_is_taken(self) -> None:
@@ -254,7 +254,7 @@
         self.restore(10, 30)
         self.read()
         self.assertEqual(self.recorder.versions, [10])
-        self.assertEqual(self.publication.in_force, published(10, 30, 2))
+        self.assertEqual(self.publication.in_force, published_version(10, 30, 2))
         self.assertFalse(
             any(isinstance(report, PublishedVersion) for report in self.recorder.reports)
         )
--- a/pondpin/tools/document_fleet.py
+++ b/pondpin/tools/document_fleet.py
@@ -231,7 +231,7 @@
             self._note_version,
             lambda _: None,
             lambda *_: None,
-            peers_first_until=self.began + PEERS_FIRST_SECONDS,
+            prefer_peers_until=self.began + PEERS_FIRST_SECONDS,
         )
         self.http = SimulatedHttp(fleet.store, self.downlink, number)
         address = GossipAddress(f"10.0.{number // 250}.{number % 250}", 1, 2)
--- a/pondpin/tools/gossip_fleet.py
+++ b/pondpin/tools/gossip_fleet.py
@@ -102,8 +102,8 @@
             PlatformDecoder(), lambda _: None, lambda _: None, lambda *_: None
         )
         value = msgspec.json.encode(sample_configuration())
-        publication.offer_configuration(PublishedItem("configuration", 1, value), None, self.now)
-        publication.offer_list((), self.now, self.now)
+        publication.apply_configuration(PublishedItem("configuration", 1, value), None, self.now)
+        publication.apply_list((), self.now, self.now)
         gossip = Gossip(
             instance=name,
             boot=number + 1,
--- a/pondpin/tools/restore_fleet.py
+++ b/pondpin/tools/restore_fleet.py
@@ -212,7 +212,7 @@
         lowest = min(
             held.version
             for number, held in enumerate(self.stored)
-            if number + 1 == len(self.stored) or self.stored[number + 1].at >= proof.at
+            if number + 1 == len(self.stored) or self.stored[number + 1].at >= proof.sent_at
         )
         if proof.newest.version < lowest:
             self.faults.append(f"{member.name}: {proof.newest.version} proved where {lowest} was")
