--- a/pondpin/relay/attempts/attempt.py
+++ b/pondpin/relay/attempts/attempt.py
@@ -9,8 +9,8 @@
 from pondpin.http_streams import CallFailedError, OpenStream, StreamStart, WithheldError
 from pondpin.relay.attempts.events import EventSplitter
 from pondpin.relay.call import AttemptEnd, EndKind, Progress, RelayCall, WholeReply
-from pondpin.relay.choosing.patience import StallTimeouts
 from pondpin.relay.choosing.planner import Plan
+from pondpin.relay.choosing.stall_timeouts import StallTimeouts
 from pondpin.relay.model import AnswerHead
 from pondpin.relay.ports import Dialect, Forwarded, PartPlace
 
--- a/pondpin/relay/attempts/crash_guard.py
+++ b/pondpin/relay/attempts/crash_guard.py
@@ -17,14 +17,14 @@
     Turn,
 )
 from pondpin.relay.attempts.attempt_ends import helper_at_fault
-from pondpin.relay.attempts.life_watch import (
+from pondpin.relay.attempts.run_tracker import (
     Run,
     RunTracker,
 )
 from pondpin.relay.call import AttemptEnd, EndKind, Progress, RelayCall
 from pondpin.relay.choosing.planner import Plan, RelayPolicy
 from pondpin.relay.mechanisms import Mechanism
-from pondpin.relay.peers.quarantine_news import QuarantineSync
+from pondpin.relay.peers.quarantine_sync import QuarantineSync
 from pondpin.relay.upstreams.table import UpstreamTable
 
 if TYPE_CHECKING:
--- a/pondpin/relay/attempts/handler.py
+++ b/pondpin/relay/attempts/handler.py
@@ -27,20 +27,20 @@
     send_refusal,
 )
 from pondpin.relay.attempts.crash_guard import CrashGuard
-from pondpin.relay.attempts.life_watch import Run
-from pondpin.relay.attempts.placing import Placer
-from pondpin.relay.attempts.request_notes import RequestLog
-from pondpin.relay.attempts.send_guards import SendChecks
-from pondpin.relay.attempts.upstream_judge import PassiveHealth
+from pondpin.relay.attempts.passive_health import PassiveHealth
+from pondpin.relay.attempts.placer import Placer
+from pondpin.relay.attempts.request_log import RequestLog
+from pondpin.relay.attempts.run_tracker import Run
+from pondpin.relay.attempts.send_checks import SendChecks
 from pondpin.relay.call import AttemptEnd, EndKind, Progress, RelayCall
-from pondpin.relay.choosing.patience import stall_timeouts_for
 from pondpin.relay.choosing.planner import Plan, Planner, RelayPolicy
 from pondpin.relay.choosing.retry_window import RetryBounds, RetryWindow
 from pondpin.relay.choosing.routing import pick_service
+from pondpin.relay.choosing.stall_timeouts import stall_timeouts_for
 from pondpin.relay.log import EventLog
 from pondpin.relay.model import AnswerHead, RequestFacts, Route, RouteKind
 from pondpin.relay.ports import Dialect
-from pondpin.relay.upstreams.hearing import NoticeHandler
+from pondpin.relay.upstreams.notice_handler import NoticeHandler
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.request_identity import identify
 
--- a/pondpin/relay/attempts/life_looks.py
+++ b/pondpin/relay/attempts/liveness_checks.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from pondpin.http_client import Reach
-from pondpin.relay.attempts.life_watch import (
+from pondpin.relay.attempts.run_tracker import (
     LATE_START_SECONDS,
     LIST_LAG_SECONDS,
     ObservedEnd,
--- a/pondpin/relay/attempts/upstream_judge.py
+++ b/pondpin/relay/attempts/passive_health.py
@@ -8,7 +8,7 @@
 from pondpin.relay.log import EventLog
 from pondpin.relay.log_events import UpstreamEjected
 from pondpin.relay.model import AnswerHead
-from pondpin.relay.upstreams.hearing import REQUEST, NoticeHandler, SentRequest
+from pondpin.relay.upstreams.notice_handler import REQUEST, NoticeHandler, SentRequest
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.table import UpstreamTable
 
--- a/pondpin/relay/attempts/permit_taking.py
+++ b/pondpin/relay/attempts/permit_acquirer.py
@@ -9,7 +9,7 @@
 from pondpin.relay.attempts.attempt_ends import RETRY_SECONDS
 from pondpin.relay.call import Progress, RelayCall
 from pondpin.relay.choosing.jobs import is_light_call, make_job
-from pondpin.relay.peers.permits import PermitBroker
+from pondpin.relay.peers.permit_broker import PermitBroker
 from pondpin.relay.upstreams.state import UpstreamState
 
 # A request waits for a permit that comes within this share of what is left of its target: it is
--- a/pondpin/relay/attempts/placing.py
+++ b/pondpin/relay/attempts/placer.py
@@ -10,17 +10,17 @@
 from pondpin.codes import Code
 from pondpin.errors import PondpinError
 from pondpin.relay.attempts.attempt_ends import RETRY_SECONDS
-from pondpin.relay.attempts.send_guards import SendChecks
+from pondpin.relay.attempts.send_checks import SendChecks
 from pondpin.relay.call import Progress, RelayCall
+from pondpin.relay.choosing.dispatch import DispatchDecision, Dispatcher, QueueEntry
 from pondpin.relay.choosing.jobs import make_job
 from pondpin.relay.choosing.planner import Plan, Planner
-from pondpin.relay.choosing.turns import DispatchDecision, Dispatcher, QueueEntry
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.standing import Bar, nobody_left
 
 if TYPE_CHECKING:
-    from pondpin.relay.attempts.permit_taking import PermitAcquirer
+    from pondpin.relay.attempts.permit_acquirer import PermitAcquirer
     from pondpin.relay.upstreams.leases import LeaseGroup, LeaseManager
 
 # Groups of leases asked for before a request is refused for want of memory.
--- a/pondpin/relay/attempts/quarantine_records.py
+++ b/pondpin/relay/attempts/quarantine_records.py
@@ -18,7 +18,7 @@
     Verdict,
 )
 from pondpin.relay.attempts.crash_guard import POLL_SECONDS
-from pondpin.relay.attempts.life_watch import (
+from pondpin.relay.attempts.run_tracker import (
     LATE_START_SECONDS,
     LIST_LAG_SECONDS,
     ObservedEnd,
@@ -27,7 +27,7 @@
 from pondpin.relay.call import AttemptEnd, EndKind, Progress, RelayCall
 from pondpin.relay.log import EventLog
 from pondpin.relay.log_events import VerdictChanged
-from pondpin.relay.peers.quarantine_news import QuarantineSync
+from pondpin.relay.peers.quarantine_sync import QuarantineSync
 from pondpin.relay.upstreams.state import release_id
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.request_identity import show
--- a/pondpin/relay/attempts/life_watch.py
+++ b/pondpin/relay/attempts/run_tracker.py
@@ -18,7 +18,7 @@
 from pondpin.relay.upstreams.table import UpstreamTable
 
 if TYPE_CHECKING:
-    from pondpin.relay.attempts.life_looks import LivenessChecks
+    from pondpin.relay.attempts.liveness_checks import LivenessChecks
 
 # A worker begins to run a request once it is read, which takes at least this share of the time that
 # reading alone is known to take.
@@ -116,7 +116,7 @@
     @cached_property
     def looks(self) -> "LivenessChecks":
         """Loaded when a request first breaks off, or an end is told."""
-        from pondpin.relay.attempts.life_looks import LivenessChecks
+        from pondpin.relay.attempts.liveness_checks import LivenessChecks
 
         return LivenessChecks(self)
 
--- a/pondpin/relay/attempts/send_guards.py
+++ b/pondpin/relay/attempts/send_checks.py
@@ -17,7 +17,7 @@
 from pondpin.standing import Bar
 
 if TYPE_CHECKING:
-    from pondpin.relay.peers.permit_desk import PermitIssuer
+    from pondpin.relay.peers.permit_issuer import PermitIssuer
 
 
 @dataclass(frozen=True, slots=True)
--- a/pondpin/relay/choosing/turns.py
+++ b/pondpin/relay/choosing/dispatch.py
@@ -7,10 +7,10 @@
 
 from pondpin.clocks import Clock
 from pondpin.relay.call import Progress, RelayCall
-from pondpin.relay.choosing.calendar import PrefillQueue, QueuedPrompt
 from pondpin.relay.choosing.engine_choice import meets_caller_timeout, should_hold
 from pondpin.relay.choosing.jobs import make_job
 from pondpin.relay.choosing.planner import Plan, RelayPolicy
+from pondpin.relay.choosing.prefill_queue import PrefillQueue, QueuedPrompt
 from pondpin.relay.mechanisms import Mechanism
 from pondpin.relay.upstreams.forecast import prefill_duration
 from pondpin.relay.upstreams.work import LONG_PREFILL_SECONDS
--- a/pondpin/relay/choosing/planner.py
+++ b/pondpin/relay/choosing/planner.py
@@ -21,7 +21,7 @@
 from pondpin.relay.mechanisms import Mechanism
 from pondpin.relay.model import EngineProfile
 from pondpin.relay.ports import PartPlace
-from pondpin.relay.upstreams.center_loads import ReceivedLoad
+from pondpin.relay.upstreams.data_center_loads import ReceivedLoad
 from pondpin.relay.upstreams.forecast import EngineLoad
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.table import UpstreamTable, isolation_candidates
--- a/pondpin/relay/entry.py
+++ b/pondpin/relay/entry.py
@@ -22,14 +22,14 @@
 from pondpin.relay.attempts.attempt import AttemptRunner
 from pondpin.relay.attempts.crash_guard import CrashGuard
 from pondpin.relay.attempts.handler import RelayHandler
-from pondpin.relay.attempts.life_watch import RunTracker
-from pondpin.relay.attempts.placing import Placer
-from pondpin.relay.attempts.send_guards import SendChecks
+from pondpin.relay.attempts.placer import Placer
+from pondpin.relay.attempts.run_tracker import RunTracker
+from pondpin.relay.attempts.send_checks import SendChecks
 from pondpin.relay.caller_limits import caller_limits
 from pondpin.relay.changes import Changes
+from pondpin.relay.choosing.dispatch import Dispatcher
 from pondpin.relay.choosing.planner import Planner, RelayPolicy
 from pondpin.relay.choosing.retry_window import RetryBounds
-from pondpin.relay.choosing.turns import Dispatcher
 from pondpin.relay.housekeeping import HousekeepingController
 from pondpin.relay.late_parts import OPERATION_PATHS, PIECES_PATH, LateParts, LatePieces
 from pondpin.relay.log import EventLog
@@ -47,7 +47,7 @@
 from pondpin.relay.published.publication import Publication
 from pondpin.relay.published.reader import ReaderController, renewal_scale
 from pondpin.relay.published.source_monitor import SourceMonitor
-from pondpin.relay.upstreams.hearing import ANSWER_SOURCE, NoticeHandler
+from pondpin.relay.upstreams.notice_handler import ANSWER_SOURCE, NoticeHandler
 from pondpin.relay.upstreams.probe import ProbeController
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.relay_settings import RelaySettings
--- a/pondpin/relay/late_parts.py
+++ b/pondpin/relay/late_parts.py
@@ -12,12 +12,12 @@
 from pondpin.relay.attempts.crash_guard import CrashGuard
 from pondpin.relay.log import EventLog
 from pondpin.relay.peers.gossip import Gossip
-from pondpin.relay.upstreams.hearing import NoticeHandler
+from pondpin.relay.upstreams.notice_handler import NoticeHandler
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.runtime import steady_now
 
 if TYPE_CHECKING:
-    from pondpin.relay.attempts.permit_taking import PermitAcquirer
+    from pondpin.relay.attempts.permit_acquirer import PermitAcquirer
     from pondpin.relay.operations import Operations
     from pondpin.relay.published.document_server import DocumentServer
     from pondpin.relay.published.pieces import FetchPieceReply, FetchPieceRequest, HttpPieceClient
@@ -124,7 +124,7 @@
     @cached_property
     def permits(self) -> "PermitAcquirer":
         """Permits of limited upstreams."""
-        from pondpin.relay.attempts.permit_taking import PermitAcquirer
+        from pondpin.relay.attempts.permit_acquirer import PermitAcquirer
 
         return PermitAcquirer(self._gossip.limits.permits, self._metrics, steady_now)
 
--- a/pondpin/relay/operations.py
+++ b/pondpin/relay/operations.py
@@ -21,7 +21,7 @@
 from pondpin.request_identity import show
 
 if TYPE_CHECKING:
-    from pondpin.relay.peers.permit_desk import PermitIssuer
+    from pondpin.relay.peers.permit_issuer import PermitIssuer
 
 # Gives the desk of permits, which is loaded with the first limit of an upstream.
 DeskSource = Callable[[], "PermitIssuer"]
--- a/pondpin/relay/peers/description.py
+++ b/pondpin/relay/peers/digest_builder.py
@@ -2,13 +2,13 @@
 
 from typing import TYPE_CHECKING
 
+from pondpin.relay.peers.digest_fields import round_up_ms
 from pondpin.relay.peers.digests import (
     DIGEST_FORMAT,
     MILLISECONDS,
     Digest,
     EjectedDigest,
 )
-from pondpin.relay.peers.news import round_up_ms
 from pondpin.relay.periods import PERIOD_SECONDS
 
 if TYPE_CHECKING:
--- a/pondpin/relay/peers/digests.py
+++ b/pondpin/relay/peers/digests.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from pondpin.relay.choosing.calendar import QueuedPromptDigest
+from pondpin.relay.choosing.prefill_queue import QueuedPromptDigest
 from pondpin.relay.published.freshness import PublishedVersion
-from pondpin.relay.upstreams.center_loads import DataCenterLoad
+from pondpin.relay.upstreams.data_center_loads import DataCenterLoad
 from pondpin.relay.upstreams.work import WorkDigest
 
 # 6: upstreams are named by the number of their life; instances of an older format are not heard.
--- a/pondpin/relay/peers/gossip.py
+++ b/pondpin/relay/peers/gossip.py
@@ -13,7 +13,7 @@
 from pondpin.datagrams import DatagramPort, DatagramSocket
 from pondpin.network import Endpoint
 from pondpin.quarantine import Quarantine, turn_of
-from pondpin.relay.choosing.calendar import PrefillQueue
+from pondpin.relay.choosing.prefill_queue import PrefillQueue
 from pondpin.relay.log import EventLog
 from pondpin.relay.log_events import (
     DataCenterChanged,
@@ -21,7 +21,8 @@
     PeersChanged,
     UpstreamLeaving,
 )
-from pondpin.relay.peers.description import DigestBuilder
+from pondpin.relay.peers.digest_builder import DigestBuilder
+from pondpin.relay.peers.digest_fields import round_up_ms, urgent_fields
 from pondpin.relay.peers.digests import (
     ALIVE_INTERVALS,
     MILLISECONDS,
@@ -33,16 +34,15 @@
 )
 from pondpin.relay.peers.fan_out import FanOut, Round
 from pondpin.relay.peers.hosts import GossipAddress, PeerHosts
-from pondpin.relay.peers.news import round_up_ms, urgent_fields
-from pondpin.relay.peers.published_news import PublishedSync
-from pondpin.relay.peers.quarantine_news import QuarantineSync
+from pondpin.relay.peers.published_sync import PublishedSync
+from pondpin.relay.peers.quarantine_sync import QuarantineSync
 from pondpin.relay.published.publication import Publication
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.table import PEER_LOAD_SECONDS, UpstreamTable
 
 if TYPE_CHECKING:
-    from pondpin.relay.peers.limit_keeping import LimitEnforcement
-    from pondpin.relay.peers.long_read_news import LongPrefillSync
+    from pondpin.relay.peers.limit_enforcement import LimitEnforcement
+    from pondpin.relay.peers.long_prefill_sync import LongPrefillSync
     from pondpin.relay.published.pieces import PiecePort
 
 # Out of turn digests are at least so far apart.
@@ -109,14 +109,14 @@
     @cached_property
     def limits(self) -> "LimitEnforcement":
         """What keeps to limits of upstreams; loaded where one names a limit, which few ever do."""
-        from pondpin.relay.peers.limit_keeping import LimitEnforcement
+        from pondpin.relay.peers.limit_enforcement import LimitEnforcement
 
         return LimitEnforcement(self)
 
     @cached_property
     def _long_reads(self) -> "LongPrefillSync":
         """Loaded where long prompts are told of, in large fleets only."""
-        from pondpin.relay.peers.long_read_news import LongPrefillSync
+        from pondpin.relay.peers.long_prefill_sync import LongPrefillSync
 
         return LongPrefillSync(self.instance, self.boot, self.table)
 
--- a/pondpin/relay/peers/limit_keeping.py
+++ b/pondpin/relay/peers/limit_enforcement.py
@@ -3,10 +3,10 @@
 from typing import TYPE_CHECKING
 
 from pondpin.relay.peers.digests import LimitDigest
-from pondpin.relay.peers.limit_news import LimitSync
-from pondpin.relay.peers.limits_told import limit_digests, lives_to_send
-from pondpin.relay.peers.permit_desk import Membership, PermitIssuer
-from pondpin.relay.peers.permits import PermitBroker
+from pondpin.relay.peers.limit_messages import limit_digests, lives_to_send
+from pondpin.relay.peers.limit_sync import LimitSync
+from pondpin.relay.peers.permit_broker import PermitBroker
+from pondpin.relay.peers.permit_issuer import Membership, PermitIssuer
 
 if TYPE_CHECKING:
     from pondpin.relay.peers.gossip import Gossip
--- a/pondpin/relay/peers/limit_news.py
+++ b/pondpin/relay/peers/limit_sync.py
@@ -12,7 +12,7 @@
 from pondpin.relay.limit_events import UpstreamLimit
 from pondpin.relay.log import EventLog
 from pondpin.relay.peers.digests import LimitDigest
-from pondpin.relay.peers.limits_told import (
+from pondpin.relay.peers.limit_messages import (
     LIMITS_FORMAT,
     LimitsMessage,
     decode_limits,
--- a/pondpin/relay/peers/long_read_news.py
+++ b/pondpin/relay/peers/long_prefill_sync.py
@@ -1,7 +1,7 @@
 """What instances tell each other of the long prompts that they have read at the moment."""
 
-from pondpin.relay.peers.news import LastMessage
-from pondpin.relay.upstreams.long_reads import (
+from pondpin.relay.peers.digest_fields import LastMessage
+from pondpin.relay.upstreams.long_prefills import (
     LONG_PREFILLS_FORMAT,
     LongPrefills,
     decode_long_prefills,
--- a/pondpin/relay/peers/permits.py
+++ b/pondpin/relay/peers/permit_broker.py
@@ -12,7 +12,7 @@
 
 from pondpin.clocks import Clock
 from pondpin.pace import Permit
-from pondpin.relay.peers.permit_desk import PERMIT_VALID_SECONDS, PermitIssuer
+from pondpin.relay.peers.permit_issuer import PERMIT_VALID_SECONDS, PermitIssuer
 from pondpin.relay.upstreams.state import UpstreamState
 
 # The first number of a message; see LIMITS_FORMAT.
--- a/pondpin/relay/peers/quarantine_news.py
+++ b/pondpin/relay/peers/quarantine_sync.py
@@ -13,8 +13,8 @@
 from pondpin.clocks import Clock
 from pondpin.quarantine import NamedEnd, Quarantine
 from pondpin.quarantine_messages import EndTold, heard_end, tell_end
+from pondpin.relay.peers.digest_fields import LastMessage
 from pondpin.relay.peers.digests import Digest
-from pondpin.relay.peers.news import LastMessage
 
 # The first number of a message; digests and long reads have theirs there.
 QUARANTINE_FORMAT = 1002
--- a/pondpin/relay/published/packing.py
+++ b/pondpin/relay/published/packing.py
@@ -12,7 +12,7 @@
 import msgspec
 import xxhash
 
-from pondpin.relay.published.differences import DeltaStep, apply_delta, encode_delta
+from pondpin.relay.published.delta import DeltaStep, apply_delta, encode_delta
 from pondpin.relay.published.documents import Document
 
 # A piece takes 13 ms of a link of 10 Mbit/s: the streams of callers wait for no longer.
--- a/pondpin/relay/published/publication.py
+++ b/pondpin/relay/published/publication.py
@@ -13,7 +13,8 @@
 import xxhash
 
 from pondpin.relay.model import ListedUpstream, RelayConfiguration, starts_before
-from pondpin.relay.published.contents import ConfigurationCache
+from pondpin.relay.published.announced_versions import AnnouncedVersions
+from pondpin.relay.published.configuration_cache import ConfigurationCache
 from pondpin.relay.published.documents import (
     DocumentKind,
     PublishedItem,
@@ -28,10 +29,9 @@
     later_proof,
 )
 from pondpin.relay.published.reports import EpochChange, IgnoredEntries, Report
-from pondpin.relay.published.told_versions import AnnouncedVersions
 
 if TYPE_CHECKING:
-    from pondpin.relay.published.gone_entries import RemovedEntries
+    from pondpin.relay.published.removed_entries import RemovedEntries
 
 # An entry may lapse while the source is away, and is written again within about two seconds of its
 # return: only what is missing for longer is gone.
@@ -299,7 +299,7 @@
 
     def _record_gone(self, key: str, entry: ListedUpstream) -> None:
         if self._gone is None:
-            from pondpin.relay.published.gone_entries import RemovedEntries
+            from pondpin.relay.published.removed_entries import RemovedEntries
 
             self._gone = RemovedEntries()
         self._gone.record(key, entry, self.list_epoch)
--- a/pondpin/relay/upstreams/leases.py
+++ b/pondpin/relay/upstreams/leases.py
@@ -13,7 +13,7 @@
 from pondpin.relay.log import EventLog
 from pondpin.relay.log_events import LeasesEnded
 from pondpin.relay.ports import Hear, LeaseAnswer, LeasePort, PartPlace
-from pondpin.relay.upstreams.hearing import HeadHandler, SentRequest, ignore_head
+from pondpin.relay.upstreams.notice_handler import HeadHandler, SentRequest, ignore_head
 
 # A dead holder's memory is free again after this: under the 4 s that the deployments allow.
 HOLD_SECONDS = 3.4
--- a/pondpin/relay/upstreams/limit_hearing.py
+++ b/pondpin/relay/upstreams/limit_handler.py
@@ -7,7 +7,7 @@
 from pondpin.relay.limit_events import UnknownWord, UpstreamLimit
 from pondpin.relay.log import EventLog
 from pondpin.relay.model import AnswerHead
-from pondpin.relay.upstreams.hearing import (
+from pondpin.relay.upstreams.notice_handler import (
     ANSWER_SOURCE,
     LIVENESS_CHECK,
     MAX_LOGGED_CHARACTERS,
--- a/pondpin/relay/upstreams/hearing.py
+++ b/pondpin/relay/upstreams/notice_handler.py
@@ -12,7 +12,7 @@
 from pondpin.relay.upstreams.table import UpstreamTable
 
 if TYPE_CHECKING:
-    from pondpin.relay.upstreams.limit_hearing import LimitHandler
+    from pondpin.relay.upstreams.limit_handler import LimitHandler
 
 LISTED_AS = {True: "leaving", False: "ready"}
 ANSWER_SOURCE = "its answer"
@@ -97,7 +97,7 @@
     def _limit_hearing(self) -> "LimitHandler":
         """Loaded where an upstream says anything of it, which few ever do."""
         if self._limits is None:
-            from pondpin.relay.upstreams.limit_hearing import LimitHandler
+            from pondpin.relay.upstreams.limit_handler import LimitHandler
 
             self._limits = LimitHandler(self._table, self._log, self._tell_limit_news)
         return self._limits
--- a/pondpin/relay/upstreams/prober.py
+++ b/pondpin/relay/upstreams/prober.py
@@ -10,7 +10,7 @@
 from pondpin.relay.log_events import UpstreamBack
 from pondpin.relay.model import RelayConfiguration
 from pondpin.relay.ports import LivenessPort
-from pondpin.relay.upstreams.hearing import LIVENESS_CHECK, HeadHandler, SentRequest
+from pondpin.relay.upstreams.notice_handler import LIVENESS_CHECK, HeadHandler, SentRequest
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.standing import Bar
--- a/pondpin/relay/upstreams/reports.py
+++ b/pondpin/relay/upstreams/reports.py
@@ -9,7 +9,7 @@
 from pondpin.relay.log_events import UpstreamAsked
 from pondpin.relay.model import EngineReport
 from pondpin.relay.ports import ReportPort
-from pondpin.relay.upstreams.hearing import HeadHandler, SentRequest, ignore_head
+from pondpin.relay.upstreams.notice_handler import HeadHandler, SentRequest, ignore_head
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.standing import Bar
 
--- a/pondpin/relay/upstreams/state.py
+++ b/pondpin/relay/upstreams/state.py
@@ -25,7 +25,7 @@
 from pondpin.standing import Bar, Standing
 
 if TYPE_CHECKING:
-    from pondpin.relay.upstreams.long_reads import ReceivedPrefill
+    from pondpin.relay.upstreams.long_prefills import ReceivedPrefill
 
 # What an upstream told of its load in an answer counts for so many seconds.
 TOLD_LOAD_SECONDS = 0.5
--- a/pondpin/relay/upstreams/table.py
+++ b/pondpin/relay/upstreams/table.py
@@ -10,13 +10,13 @@
 from pondpin.health import note_failure
 from pondpin.relay.mechanisms import Mechanism
 from pondpin.relay.model import ListedUpstream, life_of
-from pondpin.relay.upstreams.center_loads import DataCenterLoad, DataCenterLoads
+from pondpin.relay.upstreams.data_center_loads import DataCenterLoad, DataCenterLoads
 from pondpin.relay.upstreams.state import FAILING_RATE, UpstreamState, release_id
 from pondpin.relay.upstreams.work import PeerWork, WorkDigest
 from pondpin.standing import KEPT_LIVES, Standings
 
 if TYPE_CHECKING:
-    from pondpin.relay.upstreams.long_reads import LongPrefill
+    from pondpin.relay.upstreams.long_prefills import LongPrefill
 
 # A peer's word on its work counts for so many seconds; digests come several times a second.
 PEER_LOAD_SECONDS = 1.5
@@ -259,7 +259,7 @@
         self, instance: str, reads: "Iterable[LongPrefill]", now: float
     ) -> None:
         """Take an instance's word on its long prompts; those it names no more are over."""
-        from pondpin.relay.upstreams.long_reads import received_prefill
+        from pondpin.relay.upstreams.long_prefills import received_prefill
 
         if self._without & {Mechanism.PEER_LOADS, Mechanism.LONG_READS}:
             return
@@ -280,7 +280,7 @@
 
     def own_long_prefills(self, now: float) -> "tuple[LongPrefill, ...]":
         """The long prompts of this instance that are being read."""
-        from pondpin.relay.upstreams.long_reads import collect_long_prefills
+        from pondpin.relay.upstreams.long_prefills import collect_long_prefills
 
         works = (
             (state.life, work)
--- a/pondpin/tests/side_by_side.py
+++ b/pondpin/tests/side_by_side.py
@@ -21,7 +21,7 @@
     "relay_start",
     "callers",
     "entry",
-    "relay_long_reads",
+    "relay_long_prefills",
     "relay_lives",
 )
 # Real processes under faults: nothing runs beside it.
--- a/pondpin/tests/test_quarantine.py
+++ b/pondpin/tests/test_quarantine.py
@@ -32,7 +32,7 @@
     quarantine_seconds,
     turn_of,
 )
-from pondpin.relay.peers.quarantine_news import QuarantineSync
+from pondpin.relay.peers.quarantine_sync import QuarantineSync
 
 NOW = 1000.0
 DEADLY = 1
--- a/pondpin/tests/test_relay_turns.py
+++ b/pondpin/tests/test_relay_dispatch.py
@@ -5,10 +5,10 @@
 from dataclasses import replace
 
 from pondpin.relay.call import Progress, RelayCall
-from pondpin.relay.choosing.calendar import PrefillQueue, QueuedPrompt
+from pondpin.relay.choosing.dispatch import REPLAN_SECONDS, DispatchDecision, Dispatcher, QueueEntry
 from pondpin.relay.choosing.engine_choice import EngineChoice
 from pondpin.relay.choosing.planner import Plan
-from pondpin.relay.choosing.turns import REPLAN_SECONDS, DispatchDecision, Dispatcher, QueueEntry
+from pondpin.relay.choosing.prefill_queue import PrefillQueue, QueuedPrompt
 from pondpin.relay.model import ListedUpstream
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.tests.test_relay_planner import NOW, make_call
--- a/pondpin/tests/test_relay_documents.py
+++ b/pondpin/tests/test_relay_documents.py
@@ -15,7 +15,7 @@
 from pondpin.platform.documents import PlatformDecoder
 from pondpin.platform.store import LONGEST_READ_SECONDS, PlatformStore
 from pondpin.relay.log import EventLog
-from pondpin.relay.published.differences import Kept, apply_delta, encode_delta, split_segments
+from pondpin.relay.published.delta import Kept, apply_delta, encode_delta, split_segments
 from pondpin.relay.published.document_fetch import BUSY_RETRY_SECONDS, DocumentFetcher
 from pondpin.relay.published.document_server import (
     MAX_TRANSFERS,
--- a/pondpin/tests/test_relay_limit_fleet.py
+++ b/pondpin/tests/test_relay_limit_fleet.py
@@ -17,8 +17,8 @@
 from pondpin.pace import Pace, Permit
 from pondpin.relay.model import ListedUpstream
 from pondpin.relay.peers.gossip import Gossip
-from pondpin.relay.peers.permit_desk import Membership, owner_of
-from pondpin.relay.peers.permits import ANSWER_TIMEOUT_SECONDS, NoPermit, PermitBroker
+from pondpin.relay.peers.permit_broker import ANSWER_TIMEOUT_SECONDS, NoPermit, PermitBroker
+from pondpin.relay.peers.permit_issuer import Membership, owner_of
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.standins.limits_kept import AIM, most_over
 from pondpin.standins.wishes import Wishes
--- a/pondpin/tests/test_relay_limit_sight.py
+++ b/pondpin/tests/test_relay_limit_log.py
@@ -10,8 +10,8 @@
 from pondpin.notices import Notice
 from pondpin.relay.log import EventLog
 from pondpin.relay.model import AnswerHead, ListedUpstream
-from pondpin.relay.upstreams.hearing import REQUEST, NoticeHandler, SentRequest
-from pondpin.relay.upstreams.limit_hearing import MAX_UNKNOWN_HEADERS
+from pondpin.relay.upstreams.limit_handler import MAX_UNKNOWN_HEADERS
+from pondpin.relay.upstreams.notice_handler import REQUEST, NoticeHandler, SentRequest
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.tests.support import FakeClock
 
--- a/pondpin/tests/test_relay_long_reads.py
+++ b/pondpin/tests/test_relay_long_prefills.py
@@ -11,7 +11,7 @@
 from pondpin.relay.mechanisms import Mechanism
 from pondpin.relay.model import ListedUpstream
 from pondpin.relay.peers.gossip import Gossip
-from pondpin.relay.upstreams.long_reads import (
+from pondpin.relay.upstreams.long_prefills import (
     LONG_PREFILLS_FORMAT,
     LongPrefill,
     LongPrefills,
--- a/pondpin/tests/test_relay_notice_fleet.py
+++ b/pondpin/tests/test_relay_notice_fleet.py
@@ -15,8 +15,8 @@
 from pondpin.notices import Notice
 from pondpin.relay.log import EventLog
 from pondpin.relay.model import AnswerHead, ListedUpstream
-from pondpin.relay.peers.description import MAX_DIGEST_LEAVING
-from pondpin.relay.upstreams.hearing import REQUEST, NoticeHandler, SentRequest
+from pondpin.relay.peers.digest_builder import MAX_DIGEST_LEAVING
+from pondpin.relay.upstreams.notice_handler import REQUEST, NoticeHandler, SentRequest
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.standins.wishes import Wishes
 from pondpin.tests.support import FakeClock
--- a/pondpin/tests/test_relay_words.py
+++ b/pondpin/tests/test_relay_notice_matrix.py
@@ -16,7 +16,7 @@
 from pondpin.http_streams import CallFailedError
 from pondpin.limits import LimitWord, hear_limit
 from pondpin.notices import Notice
-from pondpin.relay.attempts.send_guards import SendChecks
+from pondpin.relay.attempts.send_checks import SendChecks
 from pondpin.relay.entry import RelayEntry
 from pondpin.relay.model import ListedUpstream
 from pondpin.relay.upstreams.state import UpstreamState
@@ -25,7 +25,7 @@
 from pondpin.standins.wishes import Wishes, windows_over
 from pondpin.standins.worker import Worker, WorkerFault
 from pondpin.tests.support import RelayTest, ask
-from pondpin.tests.test_relay_notice_ways import code_of, state_of
+from pondpin.tests.test_relay_notice_paths import code_of, state_of
 
 ASKED = 18
 
--- a/pondpin/tests/test_relay_notice_ways.py
+++ b/pondpin/tests/test_relay_notice_paths.py
@@ -13,8 +13,8 @@
 from pondpin.http_connections import CheckedConnections
 from pondpin.metrics import Metrics
 from pondpin.notices import Notice
-from pondpin.relay.attempts.placing import REST_WAIT_SHARE
-from pondpin.relay.attempts.upstream_judge import PassiveHealth
+from pondpin.relay.attempts.passive_health import PassiveHealth
+from pondpin.relay.attempts.placer import REST_WAIT_SHARE
 from pondpin.relay.call import AttemptEnd, EndKind, WholeReply
 from pondpin.relay.choosing.planner import Plan
 from pondpin.relay.choosing.retry_window import RetryWindow
@@ -23,7 +23,7 @@
 from pondpin.relay.model import AnswerHead, ListedUpstream, life_of
 from pondpin.relay.ports import PartPlace
 from pondpin.relay.published.publication import RELIST_GRACE_SECONDS
-from pondpin.relay.upstreams.hearing import NoticeHandler
+from pondpin.relay.upstreams.notice_handler import NoticeHandler
 from pondpin.relay.upstreams.probe import is_probe_due
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.table import UpstreamTable
--- a/pondpin/tests/test_relay_planner.py
+++ b/pondpin/tests/test_relay_planner.py
@@ -23,7 +23,7 @@
     Service,
     ServiceShare,
 )
-from pondpin.relay.upstreams.center_loads import DataCenterLoad
+from pondpin.relay.upstreams.data_center_loads import DataCenterLoad
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.relay.upstreams.work import Work
 
--- a/pondpin/tests/test_relay_calendar.py
+++ b/pondpin/tests/test_relay_prefill_queue.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pondpin.relay.choosing.calendar import (
+from pondpin.relay.choosing.prefill_queue import (
     PEER_ENTRY_TTL_SECONDS,
     PrefillQueue,
     QueuedPrompt,
--- a/pondpin/tests/test_relay_publication.py
+++ b/pondpin/tests/test_relay_publication.py
@@ -13,6 +13,7 @@
 from pondpin.relay.log_events import SourceChanged
 from pondpin.relay.model import ListedUpstream, RelayConfiguration
 from pondpin.relay.ports import ConfigurationChange, ConfigurationRead, ListRead
+from pondpin.relay.published.announced_versions import ANNOUNCEMENT_TTL_SECONDS
 from pondpin.relay.published.documents import (
     MAX_RECENT_DOCUMENTS,
     DocumentKind,
@@ -37,7 +38,6 @@
     is_due,
 )
 from pondpin.relay.published.reports import Report
-from pondpin.relay.published.told_versions import ANNOUNCEMENT_TTL_SECONDS
 from pondpin.standins.local_platform import sample_configuration, sample_entry
 from pondpin.tests.support import FakeClock, ListLog, run_async
 
--- a/pondpin/tests/test_relay_quarantine.py
+++ b/pondpin/tests/test_relay_quarantine.py
@@ -22,7 +22,7 @@
 from pondpin.http_streams import CallFailedError
 from pondpin.network import Endpoint
 from pondpin.quarantine import LifeEnd, Verdict
-from pondpin.relay.attempts.life_watch import LIST_LAG_SECONDS, Run
+from pondpin.relay.attempts.run_tracker import LIST_LAG_SECONDS, Run
 from pondpin.relay.choosing.retry_window import RetryWindow
 from pondpin.relay.entry import RelayEntry
 from pondpin.relay.late_parts import QUARANTINE_PATH
@@ -395,7 +395,7 @@
 
             with (
                 mock.patch.object(first.guard.tracker, "reach", reach),
-                mock.patch("pondpin.relay.attempts.life_looks.ANSWER_SECONDS", 30.0),
+                mock.patch("pondpin.relay.attempts.liveness_checks.ANSWER_SECONDS", 30.0),
             ):
                 task = asyncio.ensure_future(ask(platform, "stream", body=DEADLY))
                 await looking.wait()
--- a/pondpin/tests/test_relay_patience.py
+++ b/pondpin/tests/test_relay_stall_timeouts.py
@@ -8,9 +8,9 @@
 from pondpin.relay.attempts.attempt import AttemptRunner, EventSink
 from pondpin.relay.call import Progress
 from pondpin.relay.choosing.engine_choice import EngineChoice
-from pondpin.relay.choosing.patience import StallTimeouts, stall_timeouts_for
 from pondpin.relay.choosing.planner import Plan, RelayPolicy
 from pondpin.relay.choosing.retry_window import MIN_INSTANCES, RetryBounds, RetryWindow
+from pondpin.relay.choosing.stall_timeouts import StallTimeouts, stall_timeouts_for
 from pondpin.relay.mechanisms import Mechanism
 from pondpin.relay.model import AnswerHead, ListedUpstream
 from pondpin.relay.upstreams.state import UpstreamState
--- a/pondpin/tests/test_relay_unlisted_life.py
+++ b/pondpin/tests/test_relay_unlisted_life.py
@@ -7,7 +7,7 @@
 from pondpin.standins.local_platform import PLAIN, LocalPlatform
 from pondpin.standins.wishes import windows_over
 from pondpin.tests.support import RelayTest, ask
-from pondpin.tests.test_relay_notice_ways import rest_all, state_of
+from pondpin.tests.test_relay_notice_paths import rest_all, state_of
 
 BORN = 1_700_000_000_000
 
--- a/pondpin/tests/test_release_mix.py
+++ b/pondpin/tests/test_release_mix.py
@@ -12,7 +12,7 @@
     digest_version,
     encode_digest,
 )
-from pondpin.relay.peers.published_news import PublishedSync
+from pondpin.relay.peers.published_sync import PublishedSync
 from pondpin.relay.published.document_server import DocumentServer
 from pondpin.relay.published.documents import (
     DocumentKind,
--- a/pondpin/tests/test_restore_machine.py
+++ b/pondpin/tests/test_restore_machine.py
@@ -17,7 +17,7 @@
 from pondpin.platform.store import PlatformStore
 from pondpin.relay.model import RelayConfiguration
 from pondpin.relay.peers.gossip import Gossip
-from pondpin.relay.peers.published_news import PublishedSync
+from pondpin.relay.peers.published_sync import PublishedSync
 from pondpin.relay.published.document_server import DocumentServer
 from pondpin.relay.published.documents import (
     DocumentKind,
--- a/pondpin/tests/test_life_watch.py
+++ b/pondpin/tests/test_run_tracker.py
@@ -14,7 +14,7 @@
 import unittest
 
 from pondpin.http_client import Reach
-from pondpin.relay.attempts.life_watch import RunTracker
+from pondpin.relay.attempts.run_tracker import RunTracker
 from pondpin.relay.log import EventLog
 from pondpin.relay.model import ListedUpstream
 from pondpin.relay.upstreams.table import UpstreamTable
--- a/pondpin/tools/measure_limit_ways.py
+++ b/pondpin/tools/measure_limit_ways.py
@@ -19,7 +19,7 @@
 import xxhash
 
 from pondpin.pace import Pace
-from pondpin.relay.peers.permit_desk import Membership, owner_of
+from pondpin.relay.peers.permit_issuer import Membership, owner_of
 from pondpin.runtime import Ready, run_command
 
 UPSTREAMS = 8
