--- a/pondpin/platform/orders.py
+++ b/pondpin/platform/orders.py
@@ -5,7 +5,7 @@
 from pondpin.http_client import HttpClient
 from pondpin.http_streams import CallFailedError
 from pondpin.platform.requests import telling
-from pondpin.relay.ports import Hear, LeaseAnswer
+from pondpin.relay.ports import HeadCallback, LeaseResponse
 
 HELD = 200
 ORDER_PATH = "/v1/order"
@@ -42,14 +42,16 @@
         tokens: int,
         hold: float,
         timeout: float,
-        hear: Hear,
-    ) -> LeaseAnswer:
+        hear: HeadCallback,
+    ) -> LeaseResponse:
         """Set tokens aside for hold seconds, or renew; raises CallFailedError."""
         order = WireReserve("reserve", lease, tokens, int(hold * 1000))
         answer = await self._order(host, port, order, timeout, hear)
-        return LeaseAnswer.HELD if answer == HELD else LeaseAnswer.REFUSED
+        return LeaseResponse.HELD if answer == HELD else LeaseResponse.REFUSED
 
-    async def release(self, host: str, port: int, lease: str, timeout: float, hear: Hear) -> bool:
+    async def release(
+        self, host: str, port: int, lease: str, timeout: float, hear: HeadCallback
+    ) -> bool:
         """Give memory back; False when the worker refused. Raises CallFailedError."""
         order = WireRelease("release", lease)
         return await self._order(host, port, order, timeout, hear) == HELD
@@ -60,7 +62,7 @@
         port: int,
         order: WireReserve | WireRelease,
         timeout: float,
-        hear: Hear,
+        hear: HeadCallback,
     ) -> int:
         url = f"http://{host}:{port}{ORDER_PATH}"
         headers = {"content-type": "application/json"}
--- a/pondpin/platform/reports.py
+++ b/pondpin/platform/reports.py
@@ -6,7 +6,7 @@
 from pondpin.http_streams import CallFailedError
 from pondpin.platform.requests import telling
 from pondpin.relay.model import EngineReport
-from pondpin.relay.ports import Hear
+from pondpin.relay.ports import HeadCallback
 
 OK = 200
 REPORT_PATH = "/v1/report"
@@ -26,7 +26,9 @@
     def __init__(self, http: HttpClient) -> None:
         self._http = http
 
-    async def read_report(self, host: str, port: int, timeout: float, hear: Hear) -> EngineReport:
+    async def read_report(
+        self, host: str, port: int, timeout: float, hear: HeadCallback
+    ) -> EngineReport:
         """Ask a worker; raises CallFailedError when it gives no sound answer in time."""
         answer = await self._http.call(
             "GET",
@@ -49,7 +51,9 @@
     def __init__(self, http: HttpClient) -> None:
         self._http = http
 
-    async def is_well(self, host: str, port: int, path: str, timeout: float, hear: Hear) -> bool:
+    async def is_healthy(
+        self, host: str, port: int, path: str, timeout: float, hear: HeadCallback
+    ) -> bool:
         """Ask a worker; raises CallFailedError when it doesn't answer in time."""
         answer = await self._http.call(
             "GET",
--- a/pondpin/platform/requests.py
+++ b/pondpin/platform/requests.py
@@ -5,8 +5,8 @@
 from pondpin.http_streams import StreamStart
 from pondpin.network import Endpoint, parse_endpoint
 from pondpin.notices import NOTHING, Notice, read_notice
-from pondpin.relay.model import AnswerHead, Load, RequestFacts
-from pondpin.relay.ports import Forwarded, Hear
+from pondpin.relay.model import Load, RequestMetadata, ResponseHead
+from pondpin.relay.ports import ForwardMetadata, HeadCallback
 from pondpin.runtime import wall_now
 
 ATTEMPT_ID = b"x-attempt-id"
@@ -80,23 +80,25 @@
 class PlatformDialect:
     """The product's Dialect for the platform's headers."""
 
-    def read_request(self, headers: RawHeaders) -> RequestFacts:
+    def read_request(self, headers: RawHeaders) -> RequestMetadata:
         """What a caller's headers say; what is missing or no number is left at its default."""
         bearer = _first(headers, b"authorization")
         key = bearer[len(BEARER) :].strip() if bearer.lower().startswith(BEARER) else b""
         milliseconds = _number(_first(headers, DEADLINE))
         tokens = _numbers(_first(headers, TOKENS))
-        return RequestFacts(
+        return RequestMetadata(
             attempt_id=_first(headers, ATTEMPT_ID).decode("latin-1"),
             host=_first(headers, b"host").decode("latin-1").partition(":")[0].lower(),
-            key=key.decode("latin-1"),
-            deadline=None if milliseconds is None else milliseconds / MILLISECONDS,
+            api_key=key.decode("latin-1"),
+            timeout=None if milliseconds is None else milliseconds / MILLISECONDS,
             prompt_tokens=tokens[0] if tokens else 0,
             answer_tokens=tokens[1] if len(tokens) > 1 else 0,
             resume_after=_first(headers, RESUME_AFTER).decode("latin-1"),
         )
 
-    def forward_headers(self, headers: RawHeaders, sent: Forwarded) -> list[tuple[bytes, bytes]]:
+    def forward_headers(
+        self, headers: RawHeaders, sent: ForwardMetadata
+    ) -> list[tuple[bytes, bytes]]:
         """The headers that a worker gets."""
         dropped = CONNECTION_HEADERS | OWNED_HEADERS | _named_by_connection(headers)
         if sent.resume_after:
@@ -118,27 +120,27 @@
             passed.append((b"Helpers", ",".join(places).encode()))
         return passed
 
-    def read_head(self, status: int, headers: Iterable[tuple[bytes, bytes]]) -> AnswerHead:
+    def read_head(self, status: int, headers: Iterable[tuple[bytes, bytes]]) -> ResponseHead:
         """The head of a worker's answer, without what concerns its connection only."""
         raw = tuple(headers)
         passed = tuple(pair for pair in raw if pair[0].lower() not in CONNECTION_HEADERS)
         content = _first(raw, b"content-type")
-        return AnswerHead(
+        return ResponseHead(
             status=status,
             attempt_id=_first(raw, ATTEMPT_ID).decode("latin-1"),
             not_executed=status == MISDIRECTED or bool(_first(raw, NOT_EXECUTED)),
             load=_read_load(_first(raw, LOAD)),
-            events=content.lower().startswith(b"text/event-stream"),
+            is_event_stream=content.lower().startswith(b"text/event-stream"),
             signed=bool(_first(raw, SIGNATURE)),
-            at_fault=_read_endpoint(_first(raw, AT_FAULT)),
-            instance=_first(raw, INSTANCE).decode("latin-1"),
+            failed_endpoint=_read_endpoint(_first(raw, AT_FAULT)),
+            upstream_id=_first(raw, INSTANCE).decode("latin-1"),
             notice=notice_of(status, raw),
             headers=passed,
-            unknown_words=_unknown_words(raw),
+            unknown_headers=_unknown_words(raw),
         )
 
 
-def telling(hear: Hear) -> Callable[[StreamStart], None]:
+def telling(hear: HeadCallback) -> Callable[[StreamStart], None]:
     """Tells what an answer to a check, a report or an order says of its worker."""
     read_head = PlatformDialect().read_head
     return lambda start: hear(read_head(start.status, start.raw_headers))
--- a/pondpin/relay/attempts/admission.py
+++ b/pondpin/relay/attempts/admission.py
@@ -8,7 +8,7 @@
 from pondpin.codes import Code
 from pondpin.errors import PondpinError
 from pondpin.relay.choosing.routing import find_account, find_route, needs_key
-from pondpin.relay.model import RelayConfiguration, RequestFacts, Route
+from pondpin.relay.model import RelayConfiguration, RequestMetadata, Route
 from pondpin.relay.published.freshness import Proof
 
 # A missing route or key may be new: refusals are final while the version was proved this lately.
@@ -66,7 +66,7 @@
     timeout: float
 
 
-def admit(beliefs: AdmissionState, facts: RequestFacts, path: str, now: float) -> Admitted:
+def admit(beliefs: AdmissionState, facts: RequestMetadata, path: str, now: float) -> Admitted:
     """Admit a request, or raise PondpinError with a truthful 'not run'."""
     configuration = beliefs.configuration
     if configuration is None:
@@ -76,13 +76,13 @@
         raise _missing(Code.UNKNOWN_PATH, beliefs, facts, now)
     account, rank = "", route.priority
     if needs_key(configuration, route):
-        found = find_account(configuration, facts.key)
+        found = find_account(configuration, facts.api_key)
         if found is None:
             raise _missing(Code.UNKNOWN_KEY, beliefs, facts, now)
         check_proof(beliefs, facts, now)
         account = found.name
         rank = route.priority if found.priority is None else found.priority
-    seconds = DEFAULT_DEADLINE_SECONDS if facts.deadline is None else facts.deadline
+    seconds = DEFAULT_DEADLINE_SECONDS if facts.timeout is None else facts.timeout
     if route.timeout > 0:
         seconds = min(seconds, route.timeout)
     if seconds <= 0:
@@ -90,7 +90,7 @@
     return Admitted(configuration, route, account, max(0, min(9, rank)), seconds)
 
 
-def check_proof(beliefs: AdmissionState, facts: RequestFacts, now: float) -> None:
+def check_proof(beliefs: AdmissionState, facts: RequestMetadata, now: float) -> None:
     """Raise PondpinError when the last proof is too old to serve a key by."""
     if not beliefs.accepts_keys(now):
         detail = f"{beliefs.proof_age(now):.2f} s old"
@@ -109,7 +109,9 @@
         raise PondpinError(Code.NOT_PROVED, detail, retry_after=RETRY_SECONDS)
 
 
-def _missing(code: Code, beliefs: AdmissionState, facts: RequestFacts, now: float) -> PondpinError:
+def _missing(
+    code: Code, beliefs: AdmissionState, facts: RequestMetadata, now: float
+) -> PondpinError:
     age = beliefs.proof_age(now)
     if age < FRESH_PROOF_SECONDS:
         return PondpinError(code)
--- a/pondpin/relay/attempts/attempt.py
+++ b/pondpin/relay/attempts/attempt.py
@@ -8,11 +8,11 @@
 from pondpin.http_client import ExactCall, HttpClient
 from pondpin.http_streams import CallFailedError, OpenStream, StreamStart, WithheldError
 from pondpin.relay.attempts.events import EventSplitter
-from pondpin.relay.call import AttemptEnd, EndKind, Progress, RelayCall, WholeReply
+from pondpin.relay.call import AttemptEnd, BufferedResponse, EndKind, Progress, RelayCall
 from pondpin.relay.choosing.planner import Plan
 from pondpin.relay.choosing.stall_timeouts import StallTimeouts
-from pondpin.relay.model import AnswerHead
-from pondpin.relay.ports import Dialect, Forwarded, PartPlace
+from pondpin.relay.model import ResponseHead
+from pondpin.relay.ports import Dialect, ForwardMetadata, PartAssignment
 
 OK = 200
 # A caller gives a stream up after its patience; another upstream needs the rest of it.
@@ -26,7 +26,7 @@
 class AttemptObserver(Protocol):
     """Is told what an attempt hears of its upstream."""
 
-    def on_head(self, head: AnswerHead) -> None:
+    def on_head(self, head: ResponseHead) -> None:
         """The head of the answer came."""
         ...
 
@@ -98,11 +98,11 @@
             self._watcher.on_first_event()
         self._begin()
         for item in fresh:
-            self._progress.note_event(item.number, self.last_data_at)
+            self._progress.record_event(item.number, self.last_data_at)
         self._call.reply.write(b"".join(item.data for item in fresh))
 
     def _is_new(self, number: int) -> bool:
-        return number < 0 or number > self._progress.last_number
+        return number < 0 or number > self._progress.last_event_number
 
     def on_end(self, whole: bool) -> None:
         """Take the end; half an event at the end means that the answer was cut."""
@@ -125,7 +125,7 @@
         self,
         call: RelayCall,
         plan: Plan,
-        parts: tuple[PartPlace, ...],
+        parts: tuple[PartAssignment, ...],
         progress: Progress,
         patience: StallTimeouts,
         watcher: AttemptObserver,
@@ -139,7 +139,7 @@
             return AttemptEnd(EndKind.WITHHELD, str(error))
         except CallFailedError as error:
             kind = EndKind.BROKEN if error.sent else EndKind.NOT_SENT
-            return AttemptEnd(kind, str(error), refused=error.refused)
+            return AttemptEnd(kind, str(error), connection_refused=error.refused)
         if start is None:
             return AttemptEnd(EndKind.STALLED, "no answer in time")
         head = self._dialect.read_head(start.status, start.raw_headers)
@@ -148,7 +148,7 @@
         if fault:
             start.abort()
             return AttemptEnd(EndKind.INVALID, fault)
-        if head.events and head.status == OK:
+        if head.is_event_stream and head.status == OK:
             return await self._pass_events(call, start, head, progress, patience, watcher, began)
         return await self._read_whole(call, start, head, began)
 
@@ -184,18 +184,18 @@
         self,
         call: RelayCall,
         plan: Plan,
-        parts: tuple[PartPlace, ...],
+        parts: tuple[PartAssignment, ...],
         progress: Progress,
         now: float,
     ) -> ExactCall:
         listed = plan.lead.listed
-        resume = str(progress.last_number) if progress.events else ""
-        sent = Forwarded(
+        resume = str(progress.last_event_number) if progress.events else ""
+        sent = ForwardMetadata(
             upstream=listed.id,
             account=call.account,
             seconds_left=call.deadline - now,
             rank=call.rank,
-            resume_after=resume if progress.last_number >= 0 else "",
+            resume_after=resume if progress.last_event_number >= 0 else "",
             parts=parts,
         )
         headers = self._dialect.forward_headers(call.incoming.raw_headers, sent)
@@ -240,7 +240,7 @@
             return left
         return min(left, max(0.0, began + patience - self._clock()))
 
-    def _check_head(self, call: RelayCall, head: AnswerHead) -> str:
+    def _check_head(self, call: RelayCall, head: ResponseHead) -> str:
         """Why the answer can't belong to the request, empty when it does."""
         if head.attempt_id and head.attempt_id != call.id:
             return f"an answer to {head.attempt_id}"
@@ -251,7 +251,7 @@
         return ""
 
     async def _read_whole(
-        self, call: RelayCall, start: StreamStart, head: AnswerHead, began: float
+        self, call: RelayCall, start: StreamStart, head: ResponseHead, began: float
     ) -> AttemptEnd:
         try:
             body = await asyncio.wait_for(start.read(), self._limit(call, None, began))
@@ -260,15 +260,17 @@
         except TimeoutError:
             return AttemptEnd(EndKind.STALLED, "the answer stopped")
         if head.not_executed:
-            return AttemptEnd(EndKind.NOT_EXECUTED, f"status {head.status}", at_fault=head.at_fault)
-        answer = WholeReply(head.status, head.headers, body)
-        return AttemptEnd(EndKind.ANSWERED, answer=answer)
+            return AttemptEnd(
+                EndKind.NOT_EXECUTED, f"status {head.status}", failed_endpoint=head.failed_endpoint
+            )
+        answer = BufferedResponse(head.status, head.headers, body)
+        return AttemptEnd(EndKind.ANSWERED, response=answer)
 
     async def _pass_events(
         self,
         call: RelayCall,
         start: StreamStart,
-        head: AnswerHead,
+        head: ResponseHead,
         progress: Progress,
         patience: StallTimeouts,
         watcher: AttemptObserver,
@@ -328,4 +330,4 @@
         if watcher.is_partitioned(now):
             return min(limit, CUT_SECONDS)
         explained = watcher.busy_until(now) - heard_at
-        return max(limit, min(explained, LONGEST_SHARE * call.patience))
+        return max(limit, min(explained, LONGEST_SHARE * call.caller_timeout))
--- a/pondpin/relay/attempts/attempt_ends.py
+++ b/pondpin/relay/attempts/attempt_ends.py
@@ -16,7 +16,7 @@
 def helper_at_fault(plan: Plan, end: AttemptEnd) -> UpstreamState | None:
     """The helper that the lead names as the reason why it did not run a request."""
     for state in plan.helpers:
-        if end.at_fault == Endpoint(state.listed.host, state.listed.port):
+        if end.failed_endpoint == Endpoint(state.listed.host, state.listed.port):
             return state
     return None
 
@@ -30,7 +30,7 @@
 
 def is_retryable_answer(call: RelayCall, end: AttemptEnd) -> bool:
     """Whether an upstream's own failure may be tried again elsewhere."""
-    answer = end.answer
+    answer = end.response
     assert answer is not None, "an answered attempt has its answer"
     return call.route.idempotent and answer.status >= FIRST_SERVER_ERROR
 
--- a/pondpin/relay/attempts/crash_guard.py
+++ b/pondpin/relay/attempts/crash_guard.py
@@ -145,7 +145,7 @@
             self.tracker.abandon(run)
         else:
             self.tracker.complete(run)
-        if end.kind is EndKind.NOT_SENT and end.refused:
+        if end.kind is EndKind.NOT_SENT and end.connection_refused:
             self.tracker.record_refused(plan.lead)
 
     def allows_retry(self, call: RelayCall, end: AttemptEnd) -> bool:
--- a/pondpin/relay/attempts/handler.py
+++ b/pondpin/relay/attempts/handler.py
@@ -38,7 +38,7 @@
 from pondpin.relay.choosing.routing import pick_service
 from pondpin.relay.choosing.stall_timeouts import stall_timeouts_for
 from pondpin.relay.log import EventLog
-from pondpin.relay.model import AnswerHead, RequestFacts, Route, RouteKind
+from pondpin.relay.model import RequestMetadata, ResponseHead, Route, RouteKind
 from pondpin.relay.ports import Dialect
 from pondpin.relay.upstreams.notice_handler import NoticeHandler
 from pondpin.relay.upstreams.table import UpstreamTable
@@ -118,20 +118,20 @@
         self,
         incoming: Incoming,
         reply: Reply,
-        facts: RequestFacts,
+        facts: RequestMetadata,
         admitted: Admitted,
         arrived: float,
     ) -> RelayCall:
         return RelayCall(
             incoming=incoming,
             reply=reply,
-            facts=facts,
+            metadata=facts,
             route=admitted.route,
             service=pick_service(admitted.route.shares, self.rng.random()),
             account=admitted.account,
             rank=admitted.rank,
             configuration=admitted.configuration,
-            arrived=arrived,
+            arrived_at=arrived,
             deadline=arrived + admitted.timeout,
             identity=identify(
                 self.identity_key, admitted.account, facts.host, incoming.target, incoming.body
@@ -161,7 +161,7 @@
             self.request_log.caller_gone(call)
 
     async def _serve(self, call: RelayCall) -> None:
-        progress = Progress(last_number=call.resumes_after)
+        progress = Progress(last_event_number=call.resume_event_number)
         try:
             await self._serve_by_attempts(call, progress)
         finally:
@@ -184,7 +184,7 @@
             self.request_log.attempt_ended(call, progress, end, why_not)
             if not why_not:
                 continue
-            if end.answer is not None and not progress.head_sent:
+            if end.response is not None and not progress.head_sent:
                 self._send_whole(call, progress, end)
                 return
             if why_not == NOBODY and not progress.may_have_run:
@@ -196,7 +196,7 @@
         plan, group = await self.placer.place(call, progress)
         key = self.planner.begin_attempt(call, progress, plan)
         keeper = self._keep_leases(group, plan, progress)
-        progress.upstream, progress.life = plan.lead.id, plan.lead.life
+        progress.last_upstream, progress.last_life = plan.lead.id, plan.lead.life
         began = self.clock()
         run = self.crash_guard.begin(call, progress, plan)
         try:
@@ -223,7 +223,7 @@
         await self.crash_guard.finish(call, progress, plan, end, run)
         helper = helper_at_fault(plan, end)
         if helper is not None:
-            progress.tried |= {helper.life}
+            progress.tried_lives |= {helper.life}
         return end
 
     def _keep_leases(
@@ -238,7 +238,7 @@
 
     def may_retry(self, call: RelayCall, progress: Progress) -> bool:
         """Whether another attempt could follow the present one, by what is in force now."""
-        if progress.sends + 1 >= call.route.attempts or progress.attempts >= MOST_ATTEMPTS:
+        if progress.sends + 1 >= call.route.max_attempts or progress.attempts >= MOST_ATTEMPTS:
             return False
         if progress.suspected:
             # It may still run where it is, and runs at one upstream at a time.
@@ -253,11 +253,11 @@
     def _why_not_again(self, call: RelayCall, progress: Progress, end: AttemptEnd) -> str:
         """Why no other upstream may get the request now, empty when one may; spends the budget."""
         now = self.clock()
-        used_up = progress.sends >= call.route.attempts or progress.attempts >= MOST_ATTEMPTS
+        used_up = progress.sends >= call.route.max_attempts or progress.attempts >= MOST_ATTEMPTS
         is_withheld = end.kind is EndKind.WITHHELD
         if not is_withheld:
             # What was withheld may go there later: its upstream has not seen it.
-            progress.tried |= {progress.life}
+            progress.tried_lives |= {progress.last_life}
         # What may not be repeated runs on without its caller, but is not sent once more.
         bars = (
             (end.kind is EndKind.ANSWERED and not is_retryable_answer(call, end), "answered"),
@@ -266,7 +266,7 @@
             (used_up, "its attempts are used up"),
             (now >= call.deadline, "its time is over"),
             (not self.crash_guard.allows_retry(call, end), "upstreams ended under it"),
-            (not self.table.candidates(call.service, now, progress.tried), NOBODY),
+            (not self.table.candidates(call.service, now, progress.tried_lives), NOBODY),
         )
         for holds, reason in bars:
             if holds:
@@ -279,14 +279,14 @@
         self.metrics.retries.inc({"service": call.service, "after": end.kind.value})
         return ""
 
-    def on_head(self, plan: Plan, head: AnswerHead, asked_at: float) -> None:
+    def on_head(self, plan: Plan, head: ResponseHead, asked_at: float) -> None:
         """The head of an answer came, to a request that was placed at a moment."""
         self._judge.observe_head(plan, head, asked_at)
 
     def _send_whole(self, call: RelayCall, progress: Progress, end: AttemptEnd) -> None:
-        answer = end.answer
+        answer = end.response
         assert answer is not None, "only answered attempts are sent whole"
-        progress.first_at = self.clock()
+        progress.first_event_at = self.clock()
         call.reply.send_exact(answer.status, answer.headers, answer.body)
         code = Code.OK if answer.status < FIRST_SERVER_ERROR else Code.UPSTREAM_REFUSED
         self.request_log.ended(call, progress, answer.status, code)
@@ -314,7 +314,7 @@
     key: int
     run: Run
 
-    def on_head(self, head: AnswerHead) -> None:
+    def on_head(self, head: ResponseHead) -> None:
         """See Watcher."""
         self.handler.on_head(self.plan, head, self.run.began)
 
--- a/pondpin/relay/attempts/passive_health.py
+++ b/pondpin/relay/attempts/passive_health.py
@@ -7,7 +7,7 @@
 from pondpin.relay.choosing.planner import Plan
 from pondpin.relay.log import EventLog
 from pondpin.relay.log_events import UpstreamEjected
-from pondpin.relay.model import AnswerHead
+from pondpin.relay.model import ResponseHead
 from pondpin.relay.upstreams.notice_handler import REQUEST, NoticeHandler, SentRequest
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.table import UpstreamTable
@@ -66,8 +66,8 @@
             silent = plan.lead.last_seen_at < began
             certain = failing and silent
             self._note_failure(plan.lead, now, end.detail, certain)
-        elif end.answer is not None and end.answer.status >= FIRST_SERVER_ERROR:
-            self._note_failure(plan.lead, now, f"status {end.answer.status}", False)
+        elif end.response is not None and end.response.status >= FIRST_SERVER_ERROR:
+            self._note_failure(plan.lead, now, f"status {end.response.status}", False)
         else:
             plan.lead.record_success(now)
 
@@ -76,7 +76,7 @@
             left = round(state.health.ejected_until - now, 2)
             self._log.write(UpstreamEjected(upstream=state.id, reason=reason, seconds=left))
 
-    def observe_head(self, plan: Plan, head: AnswerHead, asked_at: float) -> None:
+    def observe_head(self, plan: Plan, head: ResponseHead, asked_at: float) -> None:
         """The head of an answer came: take what it says of its upstream."""
         now = self._clock()
         plan.lead.last_seen_at = now
@@ -84,10 +84,10 @@
             plan.lead.reported_load, plan.lead.reported_load_at = head.load, now
         self._hear(plan.lead, head, asked_at)
         # Another upstream has the address; one that names itself is still there.
-        if head.status == MISDIRECTED and head.instance != plan.lead.id:
+        if head.status == MISDIRECTED and head.upstream_id != plan.lead.id:
             self._hearing.record_leaving(plan.lead.life, "misdirected", now)
 
-    def _hear(self, lead: UpstreamState, head: AnswerHead, asked_at: float) -> None:
+    def _hear(self, lead: UpstreamState, head: ResponseHead, asked_at: float) -> None:
         """Take what the answer says of the upstream that gave it.
 
         An answer to another request came late on a connection to the same process. A success
--- a/pondpin/relay/attempts/permit_acquirer.py
+++ b/pondpin/relay/attempts/permit_acquirer.py
@@ -34,7 +34,7 @@
 
         It waits for one that comes while its answer can still be in time; nothing queues behind.
         """
-        tried = progress.tried | avoid
+        tried = progress.tried_lives | avoid
         if not self.permits.issuer.limited_upstreams(call.service, tried):
             return False
         job = make_job(call, progress, self.clock())
@@ -55,13 +55,13 @@
         """
         if progress.attempts or progress.permit is not None or not is_light_call(call, progress):
             return
-        states = self.permits.issuer.limited_upstreams(call.service, progress.tried)
+        states = self.permits.issuer.limited_upstreams(call.service, progress.tried_lives)
         unheard = next((state for state in states if self._is_unheard(state)), None)
         if unheard is None:
             return
         self._looked_at_by_life[unheard.life] = self.clock()
         others = {state.life for state in states if state is not unheard}
-        found = await self.permits.acquire(call.service, progress.tried | others, 0.0)
+        found = await self.permits.acquire(call.service, progress.tried_lives | others, 0.0)
         if isinstance(found, Permit):
             self.metrics.permits.inc({"result": "to hear it again"})
             progress.permit = found
@@ -82,7 +82,7 @@
 
     def retry_after(self, call: RelayCall, progress: Progress) -> float | None:
         """Seconds until the first permit for a request; None where no limited one is left."""
-        limited = self.permits.issuer.limited_upstreams(call.service, progress.tried)
+        limited = self.permits.issuer.limited_upstreams(call.service, progress.tried_lives)
         if not limited:
             return None
         # A permit that could be had now would have been taken: 0 says that none is known of.
--- a/pondpin/relay/attempts/placer.py
+++ b/pondpin/relay/attempts/placer.py
@@ -132,7 +132,7 @@
 
     def _untried(self, call: RelayCall, progress: Progress) -> list[UpstreamState]:
         states = self.table.of_service(call.service)
-        return [state for state in states if state.life not in progress.tried]
+        return [state for state in states if state.life not in progress.tried_lives]
 
     def unavailable_error(self, call: RelayCall, progress: Progress) -> PondpinError:
         """The refusal of a request that no upstream takes: callers come back, spread out, when the
@@ -183,6 +183,6 @@
     def _too_late(self, call: RelayCall, plan: Plan) -> PondpinError:
         """The refusal of a prompt that would be read when its caller has given up."""
         assert plan.choice is not None, "only prompts wait"
-        first = self.clock() - call.arrived + plan.choice.first_event_seconds
+        first = self.clock() - call.arrived_at + plan.choice.first_event_seconds
         detail = f"first event after {first:.2f} s"
         return PondpinError(Code.CANNOT_FINISH, detail, retry_after=RETRY_SECONDS)
--- a/pondpin/relay/attempts/request_log.py
+++ b/pondpin/relay/attempts/request_log.py
@@ -11,8 +11,8 @@
 from pondpin.relay.call import AttemptEnd, EndKind, Progress, RelayCall
 from pondpin.relay.choosing.planner import Plan
 from pondpin.relay.log import EventLog
-from pondpin.relay.log_events import AttemptEnded, CallerGone, Ended, Placed, Refused
-from pondpin.relay.model import RequestFacts, Route
+from pondpin.relay.log_events import AttemptEnded, CallerDisconnected, Ended, Placed, Refused
+from pondpin.relay.model import RequestMetadata, Route
 from pondpin.request_identity import show
 
 if TYPE_CHECKING:
@@ -33,34 +33,34 @@
     def ended(self, call: RelayCall, progress: Progress, status: int, code: Code) -> None:
         """A request got its whole answer."""
         now = self.clock()
-        first = progress.first_at if progress.first_at is not None else now
+        first = progress.first_event_at if progress.first_event_at is not None else now
         self.log.write(
             Ended(
                 request=call.id,
                 route=call.route.name,
                 status=status,
-                upstream=progress.upstream,
+                upstream=progress.last_upstream,
                 attempts=progress.attempts,
-                first_ms=round((first - call.arrived) * MILLISECONDS),
-                total_ms=round((now - call.arrived) * MILLISECONDS),
+                first_ms=round((first - call.arrived_at) * MILLISECONDS),
+                total_ms=round((now - call.arrived_at) * MILLISECONDS),
                 events=progress.events,
                 longest_gap_ms=round(progress.longest_gap * MILLISECONDS),
-                prompt_tokens=call.facts.prompt_tokens,
-                target_ms=round(call.route.target * MILLISECONDS),
+                prompt_tokens=call.metadata.prompt_tokens,
+                target_ms=round(call.route.latency_target * MILLISECONDS),
                 gap_target_ms=round(call.route.gap_target * MILLISECONDS),
             )
         )
-        self.metrics.ttft.observe({"class": call.route.kind.value}, first - call.arrived)
+        self.metrics.ttft.observe({"class": call.route.kind.value}, first - call.arrived_at)
         self._count(call, code, Ran.RAN)
 
     def _count(self, call: RelayCall, code: Code, ran: Ran) -> None:
         labels = {"class": call.route.kind.value}
         self.metrics.requests.inc(labels | {"code": str(int(code)), "ran": ran.value})
-        self.metrics.duration.observe(labels, self.clock() - call.arrived)
+        self.metrics.duration.observe(labels, self.clock() - call.arrived_at)
 
     def refused(
         self,
-        facts: RequestFacts,
+        facts: RequestMetadata,
         route: Route | None,
         error: PondpinError,
         arrived: float,
@@ -74,7 +74,7 @@
                 request=facts.attempt_id,
                 route=route.name if route is not None else "",
                 prompt_tokens=facts.prompt_tokens,
-                target_ms=round(route.target * MILLISECONDS) if route is not None else 0,
+                target_ms=round(route.latency_target * MILLISECONDS) if route is not None else 0,
                 code=error.code.name,
                 detail=error.detail,
                 after_ms=round((now - arrived) * MILLISECONDS),
@@ -87,14 +87,14 @@
 
     def caller_gone(self, call: RelayCall) -> None:
         """The caller closed its connection."""
-        after = round((self.clock() - call.arrived) * MILLISECONDS)
-        line = CallerGone(
+        after = round((self.clock() - call.arrived_at) * MILLISECONDS)
+        line = CallerDisconnected(
             request=call.id,
             route=call.route.name,
             after_ms=after,
             events=0,
-            prompt_tokens=call.facts.prompt_tokens,
-            target_ms=round(call.route.target * MILLISECONDS),
+            prompt_tokens=call.metadata.prompt_tokens,
+            target_ms=round(call.route.latency_target * MILLISECONDS),
         )
         self.log.write(line)
         self._count(call, Code.CALLER_GONE, Ran.UNKNOWN)
@@ -122,9 +122,9 @@
                 in_flight=load.in_flight,
                 reading_ms=round(load.prefill_seconds * MILLISECONDS),
                 rank=call.rank,
-                prompt_tokens=call.facts.prompt_tokens,
-                target_ms=round(call.route.target * MILLISECONDS),
-                waited_ms=round((now - call.arrived) * MILLISECONDS),
+                prompt_tokens=call.metadata.prompt_tokens,
+                target_ms=round(call.route.latency_target * MILLISECONDS),
+                waited_ms=round((now - call.arrived_at) * MILLISECONDS),
                 part_ms=round(choice.part_seconds * MILLISECONDS) if choice is not None else 0,
                 candidates=plan.candidate_count,
                 first_event_ms=round(choice.first_event_seconds * MILLISECONDS)
@@ -134,7 +134,7 @@
                 pool=choice.pool_size if choice is not None else 0,
                 helpers=tuple(state.id for state in plan.helpers),
                 leases=len(group.places) if group is not None else 0,
-                resume_after=str(progress.last_number) if progress.events else "",
+                resume_after=str(progress.last_event_number) if progress.events else "",
                 identity=show(call.identity),
                 bar=plan.lead.standing.bar(now).value,
                 limit=plan.lead.limit,
@@ -151,10 +151,10 @@
             AttemptEnded(
                 request=call.id,
                 attempt=progress.attempts,
-                upstream=progress.upstream,
+                upstream=progress.last_upstream,
                 result=end.kind.value,
                 detail=end.detail,
-                after_ms=round((self.clock() - call.arrived) * MILLISECONDS),
+                after_ms=round((self.clock() - call.arrived_at) * MILLISECONDS),
                 events=progress.events,
                 next="final answer" if why_not else "elsewhere",
                 reason=why_not,
--- a/pondpin/relay/attempts/send_checks.py
+++ b/pondpin/relay/attempts/send_checks.py
@@ -33,8 +33,8 @@
         """The key must still hold, by a proof that is young enough; raises PondpinError."""
         if call.account:
             beliefs, now = self.admission_state(), self.clock()
-            admit(beliefs, call.facts, call.incoming.path, now)
-            check_proof(beliefs, call.facts, now)
+            admit(beliefs, call.metadata, call.incoming.path, now)
+            check_proof(beliefs, call.metadata, now)
 
     def withhold_reason(
         self, call: RelayCall, progress: Progress, plan: Plan, is_begun: bool
--- a/pondpin/relay/call.py
+++ b/pondpin/relay/call.py
@@ -6,15 +6,15 @@
 
 from pondpin.http_reply import Incoming, Reply
 from pondpin.network import Endpoint
-from pondpin.relay.model import RelayConfiguration, RequestFacts, Route
+from pondpin.relay.model import RelayConfiguration, RequestMetadata, Route
 
 if TYPE_CHECKING:
     from pondpin.pace import Permit
 
 # Callers give a stream up after the longest of these, also before its first event.
-PATIENCE_SECONDS = 2.0
-PATIENCE_TARGETS = 4.0
-PATIENCE_GAPS = 8.0
+MIN_CALLER_TIMEOUT_SECONDS = 2.0
+CALLER_TIMEOUT_TARGETS = 4.0
+CALLER_TIMEOUT_GAPS = 8.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,33 +26,35 @@
 
     incoming: Incoming
     reply: Reply
-    facts: RequestFacts
+    metadata: RequestMetadata
     route: Route
     service: str
     account: str
     rank: int
     configuration: RelayConfiguration
-    arrived: float
+    arrived_at: float
     deadline: float
     identity: int = 0
 
     @property
     def id(self) -> str:
         """The id that the caller gave."""
-        return self.facts.attempt_id
+        return self.metadata.attempt_id
 
     @property
-    def resumes_after(self) -> int:
+    def resume_event_number(self) -> int:
         """The number of the last event that the caller has, -1 when it begins anew."""
-        text = self.facts.resume_after
+        text = self.metadata.resume_after
         return int(text) if text.isdecimal() else -1
 
     @property
-    def patience(self) -> float:
+    def caller_timeout(self) -> float:
         """Seconds of silence after which the caller gives a stream up."""
         route = self.route
-        longest = max(PATIENCE_TARGETS * route.target, PATIENCE_GAPS * route.gap_target)
-        return max(PATIENCE_SECONDS, longest)
+        longest = max(
+            CALLER_TIMEOUT_TARGETS * route.latency_target, CALLER_TIMEOUT_GAPS * route.gap_target
+        )
+        return max(MIN_CALLER_TIMEOUT_SECONDS, longest)
 
 
 class EndKind(enum.Enum):
@@ -69,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeReply:
+class BufferedResponse:
     """An upstream's whole answer."""
 
     status: int
@@ -87,9 +89,9 @@
 
     kind: EndKind
     detail: str = ""
-    answer: WholeReply | None = None
-    at_fault: Endpoint | None = None
-    refused: bool = False
+    response: BufferedResponse | None = None
+    failed_endpoint: Endpoint | None = None
+    connection_refused: bool = False
 
     @property
     def may_have_run(self) -> bool:
@@ -110,14 +112,14 @@
     sends: int = 0
     may_have_run: bool = False
     # Lives of upstreams.
-    tried: frozenset[int] = frozenset()
+    tried_lives: frozenset[int] = frozenset()
     # The id and the life of the last one.
-    upstream: str = ""
-    life: int = 0
+    last_upstream: str = ""
+    last_life: int = 0
     events: int = 0
-    last_number: int = -1
-    first_at: float | None = None
-    last_at: float = 0.0
+    last_event_number: int = -1
+    first_event_at: float | None = None
+    last_event_at: float = 0.0
     longest_gap: float = 0.0
     head_sent: bool = False
     # What the next placement must heed of a request that may end its upstream: it runs at one,
@@ -127,13 +129,13 @@
     # For the next send to an upstream that takes requests by permit only; not spent yet.
     permit: "Permit | None" = None
 
-    def note_event(self, number: int, now: float) -> None:
+    def record_event(self, number: int, now: float) -> None:
         """An event went to the caller."""
-        if self.first_at is None:
-            self.first_at = now
+        if self.first_event_at is None:
+            self.first_event_at = now
         else:
-            self.longest_gap = max(self.longest_gap, now - self.last_at)
-        self.last_at = now
+            self.longest_gap = max(self.longest_gap, now - self.last_event_at)
+        self.last_event_at = now
         self.events += 1
         if number >= 0:
-            self.last_number = number
+            self.last_event_number = number
--- a/pondpin/relay/changes.py
+++ b/pondpin/relay/changes.py
@@ -11,9 +11,9 @@
 from pondpin.relay.caller_limits import caller_limits
 from pondpin.relay.log import EventLog
 from pondpin.relay.log_events import (
-    ConfigurationTaken,
+    ConfigurationApplied,
     FreshnessChanged,
-    PublishedRefused,
+    PublishedRejected,
     UpstreamLeaving,
 )
 from pondpin.relay.model import RelayConfiguration
@@ -26,7 +26,7 @@
 
 
 @dataclass
-class Changes:
+class PublicationHandler:
     """What follows from a new configuration, a new list, or a proof that grew old."""
 
     table: UpstreamTable
@@ -39,7 +39,7 @@
     memory_mebibytes: Callable[[], int]
     fresh: bool | None = None
 
-    def take_configuration(self, configuration: RelayConfiguration) -> None:
+    def apply_configuration(self, configuration: RelayConfiguration) -> None:
         """A configuration is in force."""
         self.caller_server.limits = caller_limits(self.memory_mebibytes(), configuration)
         self.caller_server.set_idle(self.caller_server.limits.idle_seconds)
@@ -48,7 +48,7 @@
         heard_at = self.publication.newer_seen_at
         behind = 0.0 if heard_at is None else self.clock() - heard_at
         self.log.write(
-            ConfigurationTaken(
+            ConfigurationApplied(
                 version=configuration.version,
                 epoch=self.publication.in_force.epoch,
                 revision=self.publication.revision,
@@ -59,7 +59,7 @@
             )
         )
 
-    def take_list(self, change: ListChange) -> None:
+    def apply_list(self, change: ListChange) -> None:
         """The list of upstreams changed."""
         news = self.table.apply_list(change.listed, change.removed_ids, self.clock())
         for name in news.leaving:
@@ -74,21 +74,21 @@
 
         handle_restart(restart, self.table, self.http, self.log, self.clock())
 
-    def receive_report(self, report: Report) -> None:
+    def log_report(self, report: Report) -> None:
         """Log what else the publication tells; loaded with the first of it."""
         from pondpin.relay.published.source_events import log_report
 
         log_report(report, self.publication.in_force, self.metrics, self.log)
 
-    def note_refused(self, kind: DocumentKind, key: str, reason: str) -> None:
+    def log_rejected(self, kind: DocumentKind, key: str, reason: str) -> None:
         """A published value is unsound."""
         if kind is DocumentKind.CONFIGURATION:
             self.metrics.configurations.inc({"source": "platform", "result": "refused"})
         else:
             self.metrics.entries_refused.inc({})
-        self.log.write(PublishedRefused(key=key, reason=reason))
+        self.log.write(PublishedRejected(key=key, reason=reason))
 
-    def note_freshness(self, beliefs: AdmissionState) -> None:
+    def log_freshness(self, beliefs: AdmissionState) -> None:
         """Log when keys begin or cease to be accepted."""
         now = self.clock()
         age, fresh = beliefs.proof_age(now), beliefs.accepts_keys(now)
--- a/pondpin/relay/choosing/engine_choice.py
+++ b/pondpin/relay/choosing/engine_choice.py
@@ -226,7 +226,7 @@
 
 
 def _has_memory(profile: EngineProfile, load: EngineLoad, tokens: int) -> bool:
-    return load.tokens + tokens <= profile.memory * MEMORY_SHARE
+    return load.tokens + tokens <= profile.memory_tokens * MEMORY_SHARE
 
 
 def _choose_light(
--- a/pondpin/relay/choosing/jobs.py
+++ b/pondpin/relay/choosing/jobs.py
@@ -25,13 +25,13 @@
 def make_job(call: RelayCall, progress: Progress, now: float) -> Job:
     """What placement needs to know of a call."""
     # A caller that has events waits anew for the next one.
-    since = progress.last_at if progress.events else call.arrived
+    since = progress.last_event_at if progress.events else call.arrived_at
     return Job(
-        prompt_tokens=call.facts.prompt_tokens,
-        answer_tokens=call.facts.answer_tokens,
-        target=call.route.target,
-        gap_target=call.route.gap_target or call.route.target,
-        caller_timeout=min(call.patience, call.deadline - since),
+        prompt_tokens=call.metadata.prompt_tokens,
+        answer_tokens=call.metadata.answer_tokens,
+        target=call.route.latency_target,
+        gap_target=call.route.gap_target or call.route.latency_target,
+        caller_timeout=min(call.caller_timeout, call.deadline - since),
         waited=now - since,
         service_gap_target=service_gap_target(call.configuration, call.service),
     )
@@ -41,8 +41,8 @@
     """Whether a call takes no engine's time that others would miss: plain, or a light stream."""
     service = call.configuration.services_by_name.get(call.service)
     profile = service.engine if service is not None else None
-    if profile is None or call.facts.prompt_tokens <= 0:
+    if profile is None or call.metadata.prompt_tokens <= 0:
         return True
     return is_light(
-        profile, call.facts.prompt_tokens, make_job(call, progress, 0.0).effective_gap_target
+        profile, call.metadata.prompt_tokens, make_job(call, progress, 0.0).effective_gap_target
     )
--- a/pondpin/relay/choosing/planner.py
+++ b/pondpin/relay/choosing/planner.py
@@ -20,7 +20,7 @@
 from pondpin.relay.choosing.jobs import interleave_data_centers, make_job
 from pondpin.relay.mechanisms import Mechanism
 from pondpin.relay.model import EngineProfile
-from pondpin.relay.ports import PartPlace
+from pondpin.relay.ports import PartAssignment
 from pondpin.relay.upstreams.data_center_loads import ReceivedLoad
 from pondpin.relay.upstreams.forecast import EngineLoad
 from pondpin.relay.upstreams.state import UpstreamState
@@ -67,10 +67,10 @@
     is_long: bool = False
 
     @property
-    def helper_endpoints(self) -> tuple[PartPlace, ...]:
+    def helper_endpoints(self) -> tuple[PartAssignment, ...]:
         """Where the helpers are."""
         return tuple(
-            PartPlace(state.id, state.listed.host, state.listed.port, life=state.life)
+            PartAssignment(state.id, state.listed.host, state.listed.port, life=state.life)
             for state in self.helpers
         )
 
@@ -138,14 +138,17 @@
         """The next attempt of a call, None when no upstream can take it now."""
         now = self._clock()
         states = self._table.candidates(
-            call.service, now, progress.tried | avoid, lambda state: self._may_take(state, progress)
+            call.service,
+            now,
+            progress.tried_lives | avoid,
+            lambda state: self._may_take(state, progress),
         )
         if progress.permit is not None:
             states = [state for state in states if state.life == progress.permit.life]
         service = call.configuration.services_by_name.get(call.service)
         profile = service.engine if service is not None else None
         if service is not None:
-            share = connection_share(service.connections, self._sharers())
+            share = connection_share(service.max_connections, self._sharers())
             states = [state for state in states if state.own_in_flight < share]
         if progress.suspected:
             states = isolation_candidates(self._near(states, True), progress.spent_releases, now)
@@ -153,7 +156,7 @@
             states = [self._rng.choice(states[len(states) // 2 :])] if states else []
         if not states:
             return None
-        if profile is None or call.facts.prompt_tokens <= 0:
+        if profile is None or call.metadata.prompt_tokens <= 0:
             return self._plan_plain(states, now)
         return self._plan_engines(call, progress, profile, states, now)
 
@@ -185,7 +188,7 @@
             # Only measurements load what they compare with.
             from pondpin.relay.choosing.baselines import plan_baseline
 
-            tokens = call.facts.prompt_tokens
+            tokens = call.metadata.prompt_tokens
             placement = self._policy.placement
             plain = plan_baseline(placement, profile, tokens, states, self._rng, now)
             return Plan(plain[0], (), plain[1], len(states))
@@ -323,7 +326,9 @@
         key = next(self._keys)
         choice = plan.choice
         if choice is None:
-            plan.lead.work_by_key[key] = Work(0.0, now, 0, call.route.target, 0.0, 1.0, False, True)
+            plan.lead.work_by_key[key] = Work(
+                0.0, now, 0, call.route.latency_target, 0.0, 1.0, False, True
+            )
             return key
         job = make_job(call, progress, now)
         lead_tokens = job.tokens
--- a/pondpin/relay/choosing/stall_timeouts.py
+++ b/pondpin/relay/choosing/stall_timeouts.py
@@ -46,21 +46,21 @@
     if not call.route.idempotent or not may_go_elsewhere:
         return StallTimeouts(None, None)
     if call.route.kind is RouteKind.SAFE:
-        first = max(SHORTEST_SAFE_PATIENCE, SAFE_PATIENCE_TARGETS * call.route.target)
+        first = max(SHORTEST_SAFE_PATIENCE, SAFE_PATIENCE_TARGETS * call.route.latency_target)
         return StallTimeouts(first, None)
     if not policy.has(Mechanism.SECOND_TRIES):
         return StallTimeouts(None, None)
-    gap = GAP_PATIENCE_SHARE * call.patience
+    gap = GAP_PATIENCE_SHARE * call.caller_timeout
     forecast = plan.choice.first_event_seconds if plan.choice is not None else 0.0
     ask = None
     if policy.has(Mechanism.REPORTS):
         ask = ASK_TIMES * forecast + ASK_SLACK_SECONDS
     if plan.helpers:
         # The engine itself tells of lost helpers.
-        return StallTimeouts(HELPED_PATIENCE_SHARE * call.patience, gap, ask)
+        return StallTimeouts(HELPED_PATIENCE_SHARE * call.caller_timeout, gap, ask)
     first = max(
         SHORTEST_PATIENCE,
         FORECAST_PATIENCE * forecast + FORECAST_SLACK_SECONDS,
-        PATIENCE_SHARE * call.patience,
+        PATIENCE_SHARE * call.caller_timeout,
     )
     return StallTimeouts(first, gap, ask)
--- a/pondpin/relay/entry.py
+++ b/pondpin/relay/entry.py
@@ -26,12 +26,12 @@
 from pondpin.relay.attempts.run_tracker import RunTracker
 from pondpin.relay.attempts.send_checks import SendChecks
 from pondpin.relay.caller_limits import caller_limits
-from pondpin.relay.changes import Changes
+from pondpin.relay.changes import PublicationHandler
 from pondpin.relay.choosing.dispatch import Dispatcher
 from pondpin.relay.choosing.planner import Planner, RelayPolicy
 from pondpin.relay.choosing.retry_window import RetryBounds
 from pondpin.relay.housekeeping import HousekeepingController
-from pondpin.relay.late_parts import OPERATION_PATHS, PIECES_PATH, LateParts, LatePieces
+from pondpin.relay.late_parts import OPERATOR_PATHS, PIECES_PATH, LazyComponents, LazyPieceClient
 from pondpin.relay.log import EventLog
 from pondpin.relay.log_events import (
     Reloaded,
@@ -102,10 +102,10 @@
         self.http = HttpClient(self.reactor, CONNECT_SECONDS, idle_seconds=IDLE_SECONDS)
         self.publication = Publication(
             PlatformDecoder(),
-            lambda configuration: self.changes.take_configuration(configuration),
-            lambda change: self.changes.take_list(change),
-            lambda kind, key, reason: self.changes.note_refused(kind, key, reason),
-            lambda report: self.changes.receive_report(report),
+            lambda configuration: self.publication_handler.apply_configuration(configuration),
+            lambda change: self.publication_handler.apply_list(change),
+            lambda kind, key, reason: self.publication_handler.log_rejected(kind, key, reason),
+            lambda report: self.publication_handler.log_report(report),
             prefer_peers_until=self._made_at + PEERS_FIRST_SECONDS
             if settings.peers.names_others
             else 0.0,
@@ -121,7 +121,7 @@
             seeds=tuple(parse_endpoint(address).host for address in settings.peers.known),
             publication=self.publication,
             table=self.table,
-            piece_port=LatePieces(self.http, self.metrics),
+            piece_port=LazyPieceClient(self.http, self.metrics),
             log=self.log,
             clock=steady_now,
             rng=self.rng,
@@ -129,7 +129,7 @@
             is_settled=self.knows_peers,
         )
         self.document_server = WebServer(self.reactor)
-        self.document_server.route(PIECES_PATH, lambda *asked: self.late.documents.handle(*asked))
+        self.document_server.route(PIECES_PATH, lambda *asked: self.lazy.documents.handle(*asked))
 
     def _make_serving(self) -> None:
         settings = self.settings
@@ -155,7 +155,7 @@
             policy,
         )
         prefix = f"{settings.instance}-{self.boot:x}"
-        self.hearing = NoticeHandler(
+        self.notice_handler = NoticeHandler(
             self.table,
             lambda: self.publication.list_at,
             self.gossip.send_soon,
@@ -164,7 +164,7 @@
             steady_now,
             lambda life, now: self.gossip.limits.sync.broadcast(life, now),
         )
-        self.guard = CrashGuard(
+        self.crash_guard = CrashGuard(
             quarantine_sync=self.gossip.quarantine_sync,
             tracker=RunTracker(self.http.reach, self.table, self.log, steady_now),
             table=self.table,
@@ -173,18 +173,26 @@
             policy=policy,
             metrics=self.metrics,
         )
-        self.late = LateParts(
-            self.http, self.gossip, self.hearing, self.guard, self.metrics, self.log, prefix
+        self.lazy = LazyComponents(
+            self.http,
+            self.gossip,
+            self.notice_handler,
+            self.crash_guard,
+            self.metrics,
+            self.log,
+            prefix,
         )
         dialect = PlatformDialect()
-        guards = SendChecks(self.beliefs, self.guard, lambda: self.gossip.limits.issuer, steady_now)
+        guards = SendChecks(
+            self.admission_state, self.crash_guard, lambda: self.gossip.limits.issuer, steady_now
+        )
         placing = Placer(
             planner=planner,
             turns=turns,
-            leases=lambda: self.late.leases,
+            leases=lambda: self.lazy.leases,
             send_checks=guards,
             table=self.table,
-            permits=lambda: self.late.permits,
+            permits=lambda: self.lazy.permits,
             clock=steady_now,
             rng=self.rng,
         )
@@ -194,14 +202,14 @@
             planner=planner,
             placer=placing,
             table=self.table,
-            leases=lambda: self.late.leases,
+            leases=lambda: self.lazy.leases,
             policy=policy,
-            reports=lambda: self.late.reports,
-            notice_handler=self.hearing,
+            reports=lambda: self.lazy.reports,
+            notice_handler=self.notice_handler,
             send_checks=guards,
-            crash_guard=self.guard,
+            crash_guard=self.crash_guard,
             identity_key=make_key(settings.identity_key),
-            admission_state=self.beliefs,
+            admission_state=self.admission_state,
             instance_count=self._sharers,
             retry_bounds=self._retry_bounds,
             log=self.log,
@@ -212,7 +220,7 @@
         )
         limits = caller_limits(settings.limits.memory_mebibytes, None)
         self.caller_server = WebServer(self.reactor, limits)
-        self.changes = Changes(
+        self.publication_handler = PublicationHandler(
             self.table,
             self.publication,
             self.caller_server,
@@ -226,8 +234,8 @@
         self.ready_server = WebServer(self.reactor)
         self.ready_server.route(READY_PATH, self._show_ready)
         self.metrics_server = WebServer(self.reactor)
-        for path in OPERATION_PATHS:
-            self.metrics_server.route(path, lambda *asked: self.late.operations.handle(*asked))
+        for path in OPERATOR_PATHS:
+            self.metrics_server.route(path, lambda *asked: self.lazy.operator_api.handle(*asked))
 
     def _make_controllers(self) -> None:
         monitor = SourceMonitor(
@@ -253,14 +261,14 @@
             ProbeController(
                 self.table,
                 self.publication,
-                lambda: self.late.prober,
+                lambda: self.lazy.prober,
                 steady_now,
-                self.late.shut_upstreams,
+                self.lazy.upstreams_due_for_recheck,
             ),
             HousekeepingController(
                 self.log,
                 self.metrics,
-                lambda: self.changes.note_freshness(self.beliefs()),
+                lambda: self.publication_handler.log_freshness(self.admission_state()),
                 lambda: self.handler.open_requests,
                 lambda: len(self.gossip.peer_table.alive(steady_now())),
                 self._step,
@@ -269,8 +277,8 @@
 
     def _step(self) -> None:
         """What is kept for a while only is dropped."""
-        self.guard.step(steady_now())
-        self.late.forget()
+        self.crash_guard.step(steady_now())
+        self.lazy.expire()
 
     def _sharers(self) -> int:
         """Instances that share the bounds of the whole system; silent ones may be alive."""
@@ -285,7 +293,7 @@
         limits = self.settings.limits
         return RetryBounds(limits.retry_ratio, limits.retry_allowance, limits.retry_window_seconds)
 
-    def beliefs(self) -> AdmissionState:
+    def admission_state(self) -> AdmissionState:
         """What requests are admitted by now."""
         limits = self.settings.limits
         bound = limits.key_ms / MILLISECONDS - KEY_MARGIN_SECONDS
@@ -304,7 +312,7 @@
         if self.caller_server.stopping or not self.table.by_id:
             return False
         publication = self.publication
-        beliefs = self.beliefs()
+        beliefs = self.admission_state()
         if beliefs.behind_seconds >= beliefs.max_behind_seconds:
             return False
         bound = beliefs.max_proof_age
@@ -375,7 +383,7 @@
         for task in list(self.caller_server.tasks):
             task.cancel()
         await asyncio.gather(*self.caller_server.tasks, return_exceptions=True)
-        await self.late.settle()
+        await self.lazy.wait_released()
         self.gossip.close()
         self.log.flush()
 
--- a/pondpin/relay/late_parts.py
+++ b/pondpin/relay/late_parts.py
@@ -18,7 +18,7 @@
 
 if TYPE_CHECKING:
     from pondpin.relay.attempts.permit_acquirer import PermitAcquirer
-    from pondpin.relay.operations import Operations
+    from pondpin.relay.operations import OperatorApi
     from pondpin.relay.published.document_server import DocumentServer
     from pondpin.relay.published.pieces import FetchPieceReply, FetchPieceRequest, HttpPieceClient
     from pondpin.relay.upstreams.leases import LeaseManager
@@ -30,10 +30,10 @@
 UPSTREAMS_PATH = "/upstreams"
 QUARANTINE_PATH = "/quarantine"
 PUBLISHED_PATH = "/published"
-OPERATION_PATHS = (METRICS_PATH, UPSTREAMS_PATH, QUARANTINE_PATH, PUBLISHED_PATH)
+OPERATOR_PATHS = (METRICS_PATH, UPSTREAMS_PATH, QUARANTINE_PATH, PUBLISHED_PATH)
 
 
-class LatePieces:
+class LazyPieceClient:
     """The PiecePort over HTTP, loaded with the first piece."""
 
     def __init__(self, http: HttpClient, metrics: Metrics) -> None:
@@ -53,7 +53,7 @@
         return await self._pieces.fetch_piece(address, request, timeout)
 
 
-class LateParts:
+class LazyComponents:
     """Each part is made once, when it is asked for."""
 
     def __init__(
@@ -129,11 +129,11 @@
         return PermitAcquirer(self._gossip.limits.permits, self._metrics, steady_now)
 
     @cached_property
-    def operations(self) -> "Operations":
+    def operator_api(self) -> "OperatorApi":
         """What operators ask at the metrics address."""
-        from pondpin.relay.operations import Operations
+        from pondpin.relay.operations import OperatorApi
 
-        return Operations(
+        return OperatorApi(
             self._gossip.table,
             self._gossip.publication,
             self._metrics,
@@ -142,17 +142,17 @@
             steady_now,
         )
 
-    def shut_upstreams(self) -> list[UpstreamState]:
+    def upstreams_due_for_recheck(self) -> list[UpstreamState]:
         """Those that take nothing at all, and are to be asked now whether they still do."""
         table = self._gossip.table
         return self._gossip.limits.issuer.due_for_recheck() if table.standings.names_limits else []
 
-    def forget(self) -> None:
+    def expire(self) -> None:
         """What is kept for a while only is dropped."""
         if self._gossip.table.standings.names_limits:
             self._gossip.limits.issuer.expire()
 
-    async def settle(self) -> None:
+    async def wait_released(self) -> None:
         """Wait until what is being given back is back or lapses."""
         if "leases" in self.__dict__:
             await self.leases.wait_released()
--- a/pondpin/relay/limit_events.py
+++ b/pondpin/relay/limit_events.py
@@ -19,7 +19,7 @@
     odd: str = ""
 
 
-class PermitsHome(LogEvent, frozen=True, kw_only=True, tag="permits_home"):
+class PermitOwnerChanged(LogEvent, frozen=True, kw_only=True, tag="permits_home"):
     """Which instance hands out the permits of a limited upstream, as known here, "" for none.
 
     share: the part of the limit that it may hand out, by the instances of its data centre that are
@@ -32,7 +32,7 @@
     share: float
 
 
-class UnknownWord(LogEvent, frozen=True, kw_only=True, tag="unknown_word"):
+class UnknownUpstreamHeader(LogEvent, frozen=True, kw_only=True, tag="unknown_word"):
     """An upstream says something of itself that nothing here reads; once for a life and name."""
 
     upstream: str
--- a/pondpin/relay/log.py
+++ b/pondpin/relay/log.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from pondpin.clocks import Clock, WallClock
-from pondpin.relay.log_events import ROUTINE, LinesDropped, LogEvent
+from pondpin.relay.log_events import ROUTINE_EVENTS, LinesDropped, LogEvent
 
 # Lines kept for one second; refusals, errors and beliefs may use the reserve too.
 ROUTINE_PER_SECOND = 300
@@ -38,7 +38,7 @@
 
     def write(self, event: LogEvent) -> None:
         """Add a line, unless this second has had enough of its kind."""
-        routine = isinstance(event, ROUTINE)
+        routine = isinstance(event, ROUTINE_EVENTS)
         self._turn_second()
         limit = ROUTINE_PER_SECOND if routine else ROUTINE_PER_SECOND + RESERVE_PER_SECOND
         if self._lines >= limit or self._is_full():
--- a/pondpin/relay/log_events.py
+++ b/pondpin/relay/log_events.py
@@ -80,7 +80,7 @@
     after_ms: int
 
 
-class Behind(LogEvent, frozen=True, kw_only=True, tag="behind"):
+class ConfigurationBehind(LogEvent, frozen=True, kw_only=True, tag="behind"):
     """A peer told of a newer configuration than the one in force here."""
 
     peer: str
@@ -103,7 +103,7 @@
     after_ms: int
 
 
-class ConfigurationTaken(LogEvent, frozen=True, kw_only=True, tag="configuration"):
+class ConfigurationApplied(LogEvent, frozen=True, kw_only=True, tag="configuration"):
     """A version is in force; behind_ms: since when a peer had told of a newer one, if one had.
 
     alone: no peer was heard that could have a newer one.
@@ -118,7 +118,7 @@
     alone: bool = False
 
 
-class PublishedRefused(LogEvent, frozen=True, kw_only=True, tag="published_refused"):
+class PublishedRejected(LogEvent, frozen=True, kw_only=True, tag="published_refused"):
     """A published value is unsound; the last good one stays in force."""
 
     key: str
@@ -167,7 +167,7 @@
     seconds: float
 
 
-class UpstreamBack(LogEvent, frozen=True, kw_only=True, tag="upstream_back"):
+class UpstreamRestored(LogEvent, frozen=True, kw_only=True, tag="upstream_back"):
     """An ejected upstream answered its liveness check."""
 
     upstream: str
@@ -258,7 +258,7 @@
     detail: str = ""
 
 
-class CallerGone(LogEvent, frozen=True, kw_only=True, tag="caller_gone"):
+class CallerDisconnected(LogEvent, frozen=True, kw_only=True, tag="caller_gone"):
     """The caller closed its connection before the end."""
 
     request: str
@@ -294,7 +294,7 @@
     seconds: float = 0.0
 
 
-class UpstreamAsked(LogEvent, frozen=True, kw_only=True, tag="upstream_asked"):
+class UpstreamQueried(LogEvent, frozen=True, kw_only=True, tag="upstream_asked"):
     """A silent engine was asked for its report."""
 
     upstream: str
@@ -304,7 +304,7 @@
     waiting: int = 0
 
 
-class LeasesEnded(LogEvent, frozen=True, kw_only=True, tag="leases"):
+class LeaseFailed(LogEvent, frozen=True, kw_only=True, tag="leases"):
     """Memory leases of a request were refused or could not be given back."""
 
     request: str
@@ -319,4 +319,4 @@
     important: int
 
 
-ROUTINE = (Placed, Ended, CallerGone)
+ROUTINE_EVENTS = (Placed, Ended, CallerDisconnected)
--- a/pondpin/relay/model.py
+++ b/pondpin/relay/model.py
@@ -39,10 +39,10 @@
     prefix: str
     kind: RouteKind
     timeout: float
-    target: float
+    latency_target: float
     priority: int
     shares: tuple[ServiceShare, ...]
-    attempts: int
+    max_attempts: int
     public: bool
     resumable: bool
     gap_target: float
@@ -65,15 +65,15 @@
     """
 
     slots: int
-    memory: int
+    memory_tokens: int
     stride: int
-    step: float
-    per_writer: float
-    per_context_k: float
-    read_rate: float
+    step_seconds: float
+    step_per_stream: float
+    step_per_context_k: float
+    prefill_rate: float
     pair_cost: float
-    chunk: int
-    hop: float
+    chunk_tokens: int
+    hop_seconds: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,7 +82,7 @@
 
     name: str
     health_path: str
-    connections: int
+    max_connections: int
     engine: EngineProfile | None
 
 
@@ -175,13 +175,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RequestFacts:
+class RequestMetadata:
     """What a caller's headers say; deadline is the seconds that it waits, None when not said."""
 
     attempt_id: str
     host: str
-    key: str
-    deadline: float | None
+    api_key: str
+    timeout: float | None
     prompt_tokens: int
     answer_tokens: int
     resume_after: str
@@ -209,7 +209,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerHead:
+class ResponseHead:
     """The head of an upstream's answer; not_executed is its word that nothing ran.
 
     signed: the upstream vouches for the answer. at_fault is where the upstream is that made it
@@ -221,10 +221,10 @@
     attempt_id: str
     not_executed: bool
     load: Load | None
-    events: bool
+    is_event_stream: bool
     signed: bool
-    at_fault: Endpoint | None
-    instance: str
+    failed_endpoint: Endpoint | None
+    upstream_id: str
     notice: Notice
     headers: tuple[tuple[bytes, bytes], ...]
-    unknown_words: tuple[tuple[str, str], ...] = ()
+    unknown_headers: tuple[tuple[str, str], ...] = ()
--- a/pondpin/relay/operations.py
+++ b/pondpin/relay/operations.py
@@ -24,17 +24,17 @@
     from pondpin.relay.peers.permit_issuer import PermitIssuer
 
 # Gives the desk of permits, which is loaded with the first limit of an upstream.
-DeskSource = Callable[[], "PermitIssuer"]
+PermitIssuerSource = Callable[[], "PermitIssuer"]
 
 
-class Lifted(msgspec.Struct, frozen=True):
+class QuarantineLifted(msgspec.Struct, frozen=True):
     """What lifting a request's quarantine changed: ends that counted and count no more."""
 
     identity: str
     ends: int
 
 
-class Held(msgspec.Struct, frozen=True):
+class HeldRequest(msgspec.Struct, frozen=True):
     """A request that is held back, as operators see it; seconds until its quarantine is over."""
 
     identity: str
@@ -46,10 +46,10 @@
 class HeldRequests(msgspec.Struct, frozen=True):
     """The requests that are suspected or quarantined."""
 
-    requests: tuple[Held, ...]
+    requests: tuple[HeldRequest, ...]
 
 
-class ShownUpstream(msgspec.Struct, frozen=True):
+class UpstreamStatus(msgspec.Struct, frozen=True):
     """Why an upstream gets nothing new, if so, who said it, since when and for how much longer.
 
     state: "takes requests", "takes some by permit", "leaves", "rests", "comes back bit by bit",
@@ -73,7 +73,7 @@
     share: float = 0.0
 
 
-class ShownPublished(msgspec.Struct, frozen=True):
+class PublishedStatus(msgspec.Struct, frozen=True):
     """What is in force of the published values; ages are in seconds, -1 where there are none.
 
     version, epoch and revision: the configuration's, as it was read last. source_epoch: the
@@ -92,32 +92,34 @@
     upstreams: int
 
 
-class ShownUpstreams(msgspec.Struct, frozen=True):
+class UpstreamStatuses(msgspec.Struct, frozen=True):
     """All listed upstreams."""
 
-    upstreams: tuple[ShownUpstream, ...]
+    upstreams: tuple[UpstreamStatus, ...]
 
 
-def held_requests(guard: CrashGuard) -> tuple[Held, ...]:
+def held_requests(guard: CrashGuard) -> tuple[HeldRequest, ...]:
     """The requests that are suspected or quarantined."""
     return tuple(
-        Held(show(identity), judgement.verdict.value, told, seconds)
+        HeldRequest(show(identity), judgement.verdict.value, told, seconds)
         for identity in guard.quarantine.ends_by_identity
         for judgement, told, seconds in (guard.records.describe(identity),)
         if judgement.verdict is not Verdict.FREE
     )
 
 
-def show_upstreams(states: Iterable[UpstreamState], desk: DeskSource, now: float) -> ShownUpstreams:
+def upstream_statuses(
+    states: Iterable[UpstreamState], desk: PermitIssuerSource, now: float
+) -> UpstreamStatuses:
     """Every upstream as it stands."""
-    return ShownUpstreams(tuple(_show(state, desk, now) for state in states))
+    return UpstreamStatuses(tuple(_show(state, desk, now) for state in states))
 
 
-def show_published(publication: Publication, now: float) -> ShownPublished:
+def published_status(publication: Publication, now: float) -> PublishedStatus:
     """What is in force, and how old the knowledge is."""
     in_force, proof = publication.in_force, publication.proof
     list_at = publication.list_at
-    return ShownPublished(
+    return PublishedStatus(
         version=in_force.version,
         epoch=in_force.epoch,
         revision=in_force.revision,
@@ -130,11 +132,11 @@
     )
 
 
-def _show(state: UpstreamState, desk: DeskSource, now: float) -> ShownUpstream:
+def _show(state: UpstreamState, desk: PermitIssuerSource, now: float) -> UpstreamStatus:
     kind, source, age, left = _stands(state, now)
     listed = state.listed
     home = desk().owner(state) if state.is_limited else None
-    return ShownUpstream(
+    return UpstreamStatus(
         listed.id,
         listed.service,
         listed.data_center,
@@ -177,14 +179,14 @@
 
 
 @dataclass
-class Operations:
+class OperatorApi:
     """Answers operators' calls; made with the first of them."""
 
     table: UpstreamTable
     publication: Publication
     metrics: Metrics
     guard: CrashGuard
-    desk: DeskSource
+    permit_issuer: PermitIssuerSource
     clock: Clock
 
     async def handle(self, incoming: Incoming, reply: Reply) -> None:
@@ -192,9 +194,11 @@
         if incoming.path.startswith(QUARANTINE_PATH):
             self._show_or_lift(incoming, reply)
         elif incoming.path.startswith(UPSTREAMS_PATH):
-            reply.send_json(show_upstreams(self.table.by_id.values(), self.desk, self.clock()))
+            reply.send_json(
+                upstream_statuses(self.table.by_id.values(), self.permit_issuer, self.clock())
+            )
         elif incoming.path.startswith(PUBLISHED_PATH):
-            reply.send_json(show_published(self.publication, self.clock()))
+            reply.send_json(published_status(self.publication, self.clock()))
         else:
             self._show_metrics(incoming, reply)
 
@@ -210,7 +214,7 @@
         self.metrics.upstreams_limited.set({}, len(limited))
         for state in limited:
             labels = {"upstream": state.id}
-            desk = self.desk()
+            desk = self.permit_issuer()
             self.metrics.upstream_limit.set(labels, told_limit(state.standing.limit))
             rate = desk.rate(state) if desk.is_owner(state) else 0.0
             self.metrics.upstream_permits.set(labels, rate)
@@ -226,7 +230,7 @@
             identity = int(name, 16)
         except ValueError:
             raise PondpinError(Code.INVALID_FIELD, f"{name!r} is no request's identity") from None
-        reply.send_json(Lifted(name, self.guard.records.lift(identity)))
+        reply.send_json(QuarantineLifted(name, self.guard.records.lift(identity)))
 
 
 def _is_resting(state: UpstreamState, now: float) -> bool:
--- a/pondpin/relay/peers/permit_issuer.py
+++ b/pondpin/relay/peers/permit_issuer.py
@@ -15,7 +15,7 @@
 from pondpin.clocks import Clock
 from pondpin.limits import told_limit
 from pondpin.pace import Pace, Permit, gap_of
-from pondpin.relay.limit_events import PermitsHome
+from pondpin.relay.limit_events import PermitOwnerChanged
 from pondpin.relay.log import EventLog
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.table import UpstreamTable
@@ -110,7 +110,7 @@
         if before is None or before[1].instance != home.instance:
             self._limit_by_life.pop(state.life, None)
         self.log.write(
-            PermitsHome(
+            PermitOwnerChanged(
                 upstream=state.id,
                 limit=told_limit(state.standing.limit),
                 home=home.instance,
--- a/pondpin/relay/peers/published_sync.py
+++ b/pondpin/relay/peers/published_sync.py
@@ -3,7 +3,7 @@
 from functools import cached_property
 from typing import TYPE_CHECKING
 
-from pondpin.relay.log_events import Behind
+from pondpin.relay.log_events import ConfigurationBehind
 from pondpin.relay.peers.digests import MILLISECONDS, Digest, digest_version, echo_sent_at
 from pondpin.relay.published.documents import ListOffer
 from pondpin.relay.published.freshness import PublishedVersion, peer_proof
@@ -64,7 +64,7 @@
         publication = self._gossip.publication
         if publication.receive_peer_version(told, now):
             self._gossip.log.write(
-                Behind(
+                ConfigurationBehind(
                     peer=digest.instance,
                     version=told.version,
                     epoch=told.epoch,
--- a/pondpin/relay/ports.py
+++ b/pondpin/relay/ports.py
@@ -6,14 +6,14 @@
 from typing import Protocol
 
 from pondpin.http_streams import CallFailedError
-from pondpin.relay.model import AnswerHead, EngineReport, RequestFacts
+from pondpin.relay.model import EngineReport, RequestMetadata, ResponseHead
 from pondpin.relay.published.documents import PublishedItem
 
 RawHeaders = Sequence[tuple[bytes, bytes]]
 
 
 @dataclass(frozen=True, slots=True)
-class PartPlace:
+class PartAssignment:
     """An engine that reads a part of a prompt, with its memory lease if it has one.
 
     life is that of the engine when it was chosen.
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Forwarded:
+class ForwardMetadata:
     """What pondpin itself tells an upstream beside the caller's request."""
 
     upstream: str
@@ -35,25 +35,27 @@
     seconds_left: float
     rank: int
     resume_after: str = ""
-    parts: tuple[PartPlace, ...] = ()
+    parts: tuple[PartAssignment, ...] = ()
 
 
 # Is called with the head of an answer as soon as that has come.
-Hear = Callable[[AnswerHead], None]
+HeadCallback = Callable[[ResponseHead], None]
 
 
 class Dialect(Protocol):
     """Reads and writes the headers of callers and upstreams."""
 
-    def read_request(self, headers: RawHeaders) -> RequestFacts:
+    def read_request(self, headers: RawHeaders) -> RequestMetadata:
         """What a caller's headers say."""
         ...
 
-    def forward_headers(self, headers: RawHeaders, sent: Forwarded) -> list[tuple[bytes, bytes]]:
+    def forward_headers(
+        self, headers: RawHeaders, sent: ForwardMetadata
+    ) -> list[tuple[bytes, bytes]]:
         """The headers that an upstream gets."""
         ...
 
-    def read_head(self, status: int, headers: Iterable[tuple[bytes, bytes]]) -> AnswerHead:
+    def read_head(self, status: int, headers: Iterable[tuple[bytes, bytes]]) -> ResponseHead:
         """The head of an upstream's answer."""
         ...
 
@@ -77,7 +79,7 @@
     """The list of upstreams, the source's revision when it was read (or later), and its epoch."""
 
     items: tuple[PublishedItem, ...]
-    at: int
+    revision: int
     epoch: int = 0
 
 
@@ -96,7 +98,7 @@
     """
 
     item: PublishedItem | None
-    until: int | None
+    through_revision: int | None
     epoch: int = 0
 
 
@@ -133,12 +135,14 @@
 class ReportPort(Protocol):
     """Reports of model engines; calls raise CallFailedError."""
 
-    async def read_report(self, host: str, port: int, timeout: float, hear: Hear) -> EngineReport:
+    async def read_report(
+        self, host: str, port: int, timeout: float, hear: HeadCallback
+    ) -> EngineReport:
         """Ask an engine what it does."""
         ...
 
 
-class LeaseAnswer(enum.Enum):
+class LeaseResponse(enum.Enum):
     """What an engine says to a wish for memory."""
 
     HELD = "held"
@@ -156,12 +160,14 @@
         tokens: int,
         hold: float,
         timeout: float,
-        hear: Hear,
-    ) -> LeaseAnswer:
+        hear: HeadCallback,
+    ) -> LeaseResponse:
         """Set memory aside, or renew it."""
         ...
 
-    async def release(self, host: str, port: int, lease: str, timeout: float, hear: Hear) -> bool:
+    async def release(
+        self, host: str, port: int, lease: str, timeout: float, hear: HeadCallback
+    ) -> bool:
         """Give memory back."""
         ...
 
@@ -169,6 +175,8 @@
 class LivenessPort(Protocol):
     """Liveness checks; calls raise CallFailedError."""
 
-    async def is_well(self, host: str, port: int, path: str, timeout: float, hear: Hear) -> bool:
+    async def is_healthy(
+        self, host: str, port: int, path: str, timeout: float, hear: HeadCallback
+    ) -> bool:
         """Whether an upstream says that it is well."""
         ...
--- a/pondpin/relay/published/reader.py
+++ b/pondpin/relay/published/reader.py
@@ -199,7 +199,7 @@
         sent_at = self._clock()
         listed = await self._source.read_upstreams(READ_STALL_SECONDS)
         self._check_epoch(listed.epoch, listed.epoch)
-        self._monitor.receive_revision(listed.at, listed.epoch, self._publication.in_force)
+        self._monitor.receive_revision(listed.revision, listed.epoch, self._publication.in_force)
         self._publication.apply_list(listed.items, sent_at, self._clock(), listed.epoch)
         return listed, await self._prove(listed, sent_at)
 
@@ -214,19 +214,19 @@
         sent_at; returns the configuration when it had to be fetched.
         """
         known = self._known_in(listed.epoch)
-        if known is not None and known.until >= listed.at:
+        if known is not None and known.until >= listed.revision:
             self._record(known, sent_at)
             return None
         if known is not None:
             change = await self._source.read_change(known.until, READ_STALL_SECONDS)
             self._check_epoch(listed.epoch, change.epoch)
-            if change.until is not None and change.until >= listed.at:
-                return self._take_change(known, change, change.until, sent_at)
+            if change.through_revision is not None and change.through_revision >= listed.revision:
+                return self._take_change(known, change, change.through_revision, sent_at)
         sent_at = self._clock()
         read = await self._source.read_configuration(READ_STALL_SECONDS)
         self._check_epoch(listed.epoch, read.epoch)
         # It was read after the list: what it doesn't show has not changed up to there.
-        until = listed.at if read.item is None else max(listed.at, read.item.revision)
+        until = listed.revision if read.item is None else max(listed.revision, read.item.revision)
         newest = NOTHING_PUBLISHED if read.item is None else self._offer(read.item, sent_at)
         self._record(Unchanged(newest, listed.epoch, until), sent_at)
         return read.item
@@ -274,7 +274,7 @@
         self._log.write(
             SourceRead(
                 revision=revision,
-                source_revision=listed.at,
+                source_revision=listed.revision,
                 epoch=listed.epoch,
                 bytes=size,
                 after_ms=after_ms,
--- a/pondpin/relay/upstreams/forecast.py
+++ b/pondpin/relay/upstreams/forecast.py
@@ -66,7 +66,7 @@
 def prefill_duration(profile: EngineProfile, tokens: int) -> float:
     """Seconds that one engine takes to read a prompt alone."""
     pairs = tokens * tokens / 2
-    return tokens / profile.read_rate + pairs * profile.pair_cost
+    return tokens / profile.prefill_rate + pairs * profile.pair_cost
 
 
 def pass_seconds(profile: EngineProfile, load: EngineLoad) -> float:
@@ -74,8 +74,8 @@
     count = sum(writers.count for writers in load.decode_streams)
     if not count:
         return 0.0
-    context = load.tokens / TOKENS_PER_K * profile.per_context_k
-    return profile.stride * (profile.step + count * profile.per_writer + context)
+    context = load.tokens / TOKENS_PER_K * profile.step_per_context_k
+    return profile.stride * (profile.step_seconds + count * profile.step_per_stream + context)
 
 
 def miss_probability(seconds: float, target: float, sure: float, late: float) -> float:
@@ -125,8 +125,8 @@
     slowest = pass_seconds(profile, lead) / 2 + lead.prefill_seconds + part
     for load in parts:
         slowest = max(slowest, pass_seconds(profile, load) / 2 + part)
-    context = tokens / TOKENS_PER_K * profile.per_context_k
-    own_pass = profile.stride * (profile.step + profile.per_writer + context)
+    context = tokens / TOKENS_PER_K * profile.step_per_context_k
+    own_pass = profile.stride * (profile.step_seconds + profile.step_per_stream + context)
     return slowest + max(own_pass, pass_seconds(profile, lead))
 
 
--- a/pondpin/relay/upstreams/leases.py
+++ b/pondpin/relay/upstreams/leases.py
@@ -11,8 +11,8 @@
 
 from pondpin.http_streams import CallFailedError
 from pondpin.relay.log import EventLog
-from pondpin.relay.log_events import LeasesEnded
-from pondpin.relay.ports import Hear, LeaseAnswer, LeasePort, PartPlace
+from pondpin.relay.log_events import LeaseFailed
+from pondpin.relay.ports import HeadCallback, LeasePort, LeaseResponse, PartAssignment
 from pondpin.relay.upstreams.notice_handler import HeadHandler, SentRequest, ignore_head
 
 # A dead holder's memory is free again after this: under the 4 s that the deployments allow.
@@ -34,7 +34,7 @@
     """The leases of one request."""
 
     request: str
-    places: tuple[PartPlace, ...]
+    places: tuple[PartAssignment, ...]
     tokens: int
 
 
@@ -64,8 +64,8 @@
         self.orders = 0
 
     async def acquire(
-        self, request: str, places: Sequence[PartPlace], tokens: int
-    ) -> tuple[LeaseGroup | None, tuple[PartPlace, ...]]:
+        self, request: str, places: Sequence[PartAssignment], tokens: int
+    ) -> tuple[LeaseGroup | None, tuple[PartAssignment, ...]]:
         """Lease tokens at every place, or at none; also the places that did not give it."""
         name = f"{self._prefix}-{next(self._numbers)}"
         named = tuple(replace(place, lease=f"{name}-{index}") for index, place in enumerate(places))
@@ -75,7 +75,7 @@
         if not failed:
             return group, ()
         names = ",".join(place.upstream for place in failed)
-        self._log.write(LeasesEnded(request=request, outcome="refused", detail=names))
+        self._log.write(LeaseFailed(request=request, outcome="refused", detail=names))
         self.release(group)
         return None, failed
 
@@ -92,7 +92,7 @@
             await asyncio.sleep(RENEW_SECONDS)
             hold = HOLD_SECONDS if has_begun() else min(HOLD_SECONDS, limit - now())
             if hold <= 0:
-                self._log.write(LeasesEnded(request=group.request, outcome="unused", detail=""))
+                self._log.write(LeaseFailed(request=group.request, outcome="unused", detail=""))
                 return
             # A later life at that place holds nothing of this prompt: it would only lose memory.
             standing = [place for place in group.places if not self._has_ended(place.life)]
@@ -111,7 +111,9 @@
         """Wait until what is being given back is back or lapses."""
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def _reserve(self, place: PartPlace, tokens: int, hold: float = HOLD_SECONDS) -> bool:
+    async def _reserve(
+        self, place: PartAssignment, tokens: int, hold: float = HOLD_SECONDS
+    ) -> bool:
         self.orders += 1
         self._note_sent(place.life)
         try:
@@ -126,14 +128,14 @@
             )
         except CallFailedError:
             return False
-        return answer is LeaseAnswer.HELD
+        return answer is LeaseResponse.HELD
 
-    def _hear(self, place: PartPlace) -> Hear:
+    def _hear(self, place: PartAssignment) -> HeadCallback:
         asked_at = asyncio.get_running_loop().time()
         asked = SentRequest(place.upstream, place.life, "lease", asked_at)
         return lambda said: self._listen(asked, said)
 
-    async def _release(self, group: LeaseGroup, place: PartPlace) -> None:
+    async def _release(self, group: LeaseGroup, place: PartAssignment) -> None:
         reason = ""
         for _ in range(RELEASE_TRIES):
             self.orders += 1
@@ -146,4 +148,4 @@
             except CallFailedError as error:
                 reason = str(error)
         detail = f"{place.upstream}: {reason}"
-        self._log.write(LeasesEnded(request=group.request, outcome="left to lapse", detail=detail))
+        self._log.write(LeaseFailed(request=group.request, outcome="left to lapse", detail=detail))
--- a/pondpin/relay/upstreams/limit_handler.py
+++ b/pondpin/relay/upstreams/limit_handler.py
@@ -4,9 +4,9 @@
 
 from pondpin.limits import LimitWord, hear_limit, told_limit
 from pondpin.notices import Notice
-from pondpin.relay.limit_events import UnknownWord, UpstreamLimit
+from pondpin.relay.limit_events import UnknownUpstreamHeader, UpstreamLimit
 from pondpin.relay.log import EventLog
-from pondpin.relay.model import AnswerHead
+from pondpin.relay.model import ResponseHead
 from pondpin.relay.upstreams.notice_handler import (
     ANSWER_SOURCE,
     LIVENESS_CHECK,
@@ -32,12 +32,12 @@
         # Lives and names of words, or values, that were told as not understood.
         self._told_odd: set[tuple[int, str]] = set()
 
-    def handle_head(self, life: int, asked: SentRequest, said: AnswerHead, now: float) -> None:
+    def handle_head(self, life: int, asked: SentRequest, said: ResponseHead, now: float) -> None:
         """Take what an answer says of its upstream's limit, and tell words that nobody reads."""
         self._tell_unknown(life, said)
         self._hear_limit(life, asked, said, now)
 
-    def _hear_limit(self, life: int, asked: SentRequest, said: AnswerHead, now: float) -> None:
+    def _hear_limit(self, life: int, asked: SentRequest, said: ResponseHead, now: float) -> None:
         """Take what an answer says of a limit, also that it names none any more.
 
         Only answers to requests prove the latter: whether others name it is not known. A limit of 0
@@ -79,11 +79,11 @@
             )
         )
 
-    def _tell_unknown(self, life: int, said: AnswerHead) -> None:
-        for name, value in said.unknown_words:
+    def _tell_unknown(self, life: int, said: ResponseHead) -> None:
+        for name, value in said.unknown_headers:
             if self._is_news(life, name):
                 self._log.write(
-                    UnknownWord(
+                    UnknownUpstreamHeader(
                         upstream=self._table.label_of(life),
                         life=f"{life:x}",
                         name=name[:MAX_LOGGED_CHARACTERS],
--- a/pondpin/relay/upstreams/notice_handler.py
+++ b/pondpin/relay/upstreams/notice_handler.py
@@ -8,7 +8,7 @@
 from pondpin.metrics import Metrics
 from pondpin.relay.log import EventLog
 from pondpin.relay.log_events import UpstreamLeaving, UpstreamNotice
-from pondpin.relay.model import AnswerHead
+from pondpin.relay.model import ResponseHead
 from pondpin.relay.upstreams.table import UpstreamTable
 
 if TYPE_CHECKING:
@@ -36,10 +36,10 @@
 
 
 # Takes the head of an answer.
-HeadHandler = Callable[[SentRequest, AnswerHead], None]
+HeadHandler = Callable[[SentRequest, ResponseHead], None]
 
 
-def ignore_head(asked: SentRequest, head: AnswerHead) -> None:
+def ignore_head(asked: SentRequest, head: ResponseHead) -> None:
     """See Listener: takes no notice."""
 
 
@@ -68,7 +68,7 @@
         self._clock = clock
         self._limits: LimitHandler | None = None
 
-    def handle_head(self, asked: SentRequest, said: AnswerHead) -> None:
+    def handle_head(self, asked: SentRequest, said: ResponseHead) -> None:
         """Take the head of an answer, see Listener.
 
         An upstream that names itself in its answer speaks for itself, also at another's address:
@@ -88,11 +88,11 @@
         if notice.leaves:
             self.record_leaving(life, ANSWER_SOURCE, now)
 
-    def _is_of_limits(self, said: AnswerHead) -> bool:
+    def _is_of_limits(self, said: ResponseHead) -> bool:
         """Whether an answer says anything of limits, also by naming none, or an unknown word."""
         notice = said.notice
         names_one = notice.limit is not None or bool(notice.odd_limit)
-        return names_one or bool(said.unknown_words) or self._table.standings.names_limits
+        return names_one or bool(said.unknown_headers) or self._table.standings.names_limits
 
     def _limit_hearing(self) -> "LimitHandler":
         """Loaded where an upstream says anything of it, which few ever do."""
@@ -102,9 +102,9 @@
             self._limits = LimitHandler(self._table, self._log, self._tell_limit_news)
         return self._limits
 
-    def _speaker(self, asked: SentRequest, said: AnswerHead) -> int:
-        if said.instance and said.instance != asked.upstream:
-            return self._table.life_of_id(said.instance)
+    def _speaker(self, asked: SentRequest, said: ResponseHead) -> int:
+        if said.upstream_id and said.upstream_id != asked.upstream:
+            return self._table.life_of_id(said.upstream_id)
         return asked.life
 
     def record_leaving(self, life: int, source: str, now: float) -> None:
@@ -115,7 +115,7 @@
             self._log.write(UpstreamLeaving(upstream=name, source=source))
             self._tell_soon()
 
-    def _tell(self, life: int, said: AnswerHead, answer: str, now: float) -> None:
+    def _tell(self, life: int, said: ResponseHead, answer: str, now: float) -> None:
         state = self._table.by_life(life)
         list_at = self._list_at()
         rest = self._table.standings.of(life).rest
--- a/pondpin/relay/upstreams/prober.py
+++ b/pondpin/relay/upstreams/prober.py
@@ -7,7 +7,7 @@
 from pondpin.clocks import Clock
 from pondpin.http_streams import CallFailedError
 from pondpin.relay.log import EventLog
-from pondpin.relay.log_events import UpstreamBack
+from pondpin.relay.log_events import UpstreamRestored
 from pondpin.relay.model import RelayConfiguration
 from pondpin.relay.ports import LivenessPort
 from pondpin.relay.upstreams.notice_handler import LIVENESS_CHECK, HeadHandler, SentRequest
@@ -42,7 +42,7 @@
         listed = state.listed
         asked = SentRequest(listed.id, listed.life, LIVENESS_CHECK, self.clock())
         try:
-            passed = await self.port.is_well(
+            passed = await self.port.is_healthy(
                 listed.host,
                 listed.port,
                 service.health_path,
@@ -53,7 +53,7 @@
             passed = False
         if passed:
             state.record_probe_passed()
-            self.log.write(UpstreamBack(upstream=state.id))
+            self.log.write(UpstreamRestored(upstream=state.id))
         elif state.needs_probe and state.bar(self.clock()) is Bar.NONE:
             # One that leaves or asked for rest is not ill.
             self.table.record_failure(state, self.clock(), certain=True)
--- a/pondpin/relay/upstreams/reports.py
+++ b/pondpin/relay/upstreams/reports.py
@@ -6,7 +6,7 @@
 from pondpin.clocks import Clock
 from pondpin.http_streams import CallFailedError
 from pondpin.relay.log import EventLog
-from pondpin.relay.log_events import UpstreamAsked
+from pondpin.relay.log_events import UpstreamQueried
 from pondpin.relay.model import EngineReport
 from pondpin.relay.ports import ReportPort
 from pondpin.relay.upstreams.notice_handler import HeadHandler, SentRequest, ignore_head
@@ -78,7 +78,7 @@
             state.report, state.report_at = report, self._clock()
             state.last_seen_at = state.report_at
         self._log.write(
-            UpstreamAsked(
+            UpstreamQueried(
                 upstream=state.id,
                 answers=report is not None,
                 reason=reason,
--- a/pondpin/tests/test_losses.py
+++ b/pondpin/tests/test_losses.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from pondpin.relay.log import EventLog
-from pondpin.relay.log_events import CallerGone, Ended, LogEvent, Placed, Refused
+from pondpin.relay.log_events import CallerDisconnected, Ended, LogEvent, Placed, Refused
 from pondpin.tests.support import FakeClock
 from pondpin.tools.log_story import LogLine, read_lines
 from pondpin.tools.losses import (
@@ -74,7 +74,7 @@
 
     def test_each_request_has_one_cause(self) -> None:
         refused = Refused(request="f", code="NO_UPSTREAM", detail="", after_ms=1, target_ms=300)
-        gone = CallerGone(request="g", route="r", after_ms=9, events=0, target_ms=300)
+        gone = CallerDisconnected(request="g", route="r", after_ms=9, events=0, target_ms=300)
         found = self.causes(
             placed("a", 100), ended("a", 120),
             placed("b", 100), ended("b", 400),
--- a/pondpin/tests/test_notices.py
+++ b/pondpin/tests/test_notices.py
@@ -118,7 +118,7 @@
     def test_words_that_nobody_reads_are_kept_for_the_log(self) -> None:
         raw = [(b"Server-Mood", b"low"), (b"Server", b"x"), (b"server-limit", b"2")]
         head = PlatformDialect().read_head(200, raw)
-        self.assertEqual(head.unknown_words, (("server-mood", "low"),))
+        self.assertEqual(head.unknown_headers, (("server-mood", "low"),))
 
     def test_an_answer_that_was_asked_for_later_counts(self) -> None:
         known = LimitWord(2.0, 10.0, 10.2, "a")
--- a/pondpin/tests/test_platform.py
+++ b/pondpin/tests/test_platform.py
@@ -17,7 +17,7 @@
 from pondpin.platform.requests import OWNED_HEADERS, PlatformDialect
 from pondpin.platform.store import PlatformStore
 from pondpin.relay.model import EngineReport, RouteKind
-from pondpin.relay.ports import ConfigurationChange, Forwarded, PartPlace
+from pondpin.relay.ports import ConfigurationChange, ForwardMetadata, PartAssignment
 from pondpin.relay_settings import read_relay_settings
 from pondpin.standins.local_platform import (
     KEY,
@@ -79,7 +79,7 @@
         self.assertEqual(found.accounts_by_key[KEY].name, "riders")
         engine = found.services_by_name["engines"].engine
         assert engine is not None
-        self.assertEqual((engine.memory, engine.stride), (450_000, 46))
+        self.assertEqual((engine.memory_tokens, engine.stride), (450_000, 46))
         self.assertIsNone(found.services_by_name["plain"].engine)
 
     def test_unsound_documents_are_refused_with_a_reason(self) -> None:
@@ -103,7 +103,7 @@
 class HeadersTest(unittest.TestCase):
     def setUp(self) -> None:
         self.dialect = PlatformDialect()
-        self.sent = Forwarded("i-1", "riders", 1.5, 2)
+        self.sent = ForwardMetadata("i-1", "riders", 1.5, 2)
 
     def test_what_a_caller_says(self) -> None:
         facts = self.dialect.read_request(
@@ -116,10 +116,8 @@
                 (b"Last-Event-Id", b"12"),
             ]
         )
-        self.assertEqual((facts.host, facts.attempt_id, facts.key), ("a.example", "9c", "k1"))
-        self.assertEqual(
-            (facts.deadline, facts.prompt_tokens, facts.answer_tokens), (2.5, 1460, 80)
-        )
+        self.assertEqual((facts.host, facts.attempt_id, facts.api_key), ("a.example", "9c", "k1"))
+        self.assertEqual((facts.timeout, facts.prompt_tokens, facts.answer_tokens), (2.5, 1460, 80))
         self.assertEqual(facts.resume_after, "12")
 
     def test_spoiled_headers_are_as_if_missing(self) -> None:
@@ -130,7 +128,7 @@
                 (b"Authorization", b"Basic x"),
             ]
         )
-        self.assertEqual((facts.deadline, facts.prompt_tokens, facts.key), (None, 0, ""))
+        self.assertEqual((facts.timeout, facts.prompt_tokens, facts.api_key), (None, 0, ""))
 
     def test_no_owned_or_connection_header_of_a_caller_passes(self) -> None:
         names = [*OWNED_HEADERS, b"connection", b"te", b"upgrade", b"keep-alive", b"x-named"]
@@ -144,8 +142,11 @@
         self.assertEqual(passed[b"X-Expect-Instance"], b"i-1")
 
     def test_parts_and_resuming(self) -> None:
-        parts = (PartPlace("i-2", "10.0.0.2", 80, "t-1"), PartPlace("i-3", "10.0.0.3", 81))
-        sent = Forwarded("i-1", "", 1.0, 0, "7", parts)
+        parts = (
+            PartAssignment("i-2", "10.0.0.2", 80, "t-1"),
+            PartAssignment("i-3", "10.0.0.3", 81),
+        )
+        sent = ForwardMetadata("i-1", "", 1.0, 0, "7", parts)
         passed = self.dialect.forward_headers([(b"Last-Event-Id", b"3")], sent)
         named = dict(passed)
         self.assertEqual(named[b"Helpers"], b"10.0.0.2:80/t-1,10.0.0.3:81")
@@ -160,11 +161,11 @@
             200, [(b"X-Instance-Load", b"3,1,8"), (b"Content-Type", b"text/event-stream")]
         )
         assert head.load is not None
-        self.assertEqual((head.load.running, head.load.waiting, head.events), (3, 1, True))
+        self.assertEqual((head.load.running, head.load.waiting, head.is_event_stream), (3, 1, True))
 
     def test_where_the_upstream_at_fault_is(self) -> None:
         def at_fault(text: bytes) -> Endpoint | None:
-            return self.dialect.read_head(503, [(b"At-Server", text)]).at_fault
+            return self.dialect.read_head(503, [(b"At-Server", text)]).failed_endpoint
 
         self.assertEqual(at_fault(b"10.2.64.46:8564"), Endpoint("10.2.64.46", 8564))
         for spoiled in (b"", b"i-7f3a91c2", b"host:1", b"10.2.64.46:x", b"\xff"):
@@ -202,7 +203,7 @@
                 store = PlatformStore(platform.http, str(platform.source))
                 listed = await store.read_upstreams(2.0)
                 items = listed.items
-                self.assertEqual(listed.at, platform.store.revision)
+                self.assertEqual(listed.revision, platform.store.revision)
                 self.assertEqual(len(items), 7)
                 self.assertEqual(len({item.key for item in items}), 7)
                 item = (await store.read_configuration(2.0)).item
@@ -227,7 +228,7 @@
                 newest = platform.publish(3)
                 change = await store.read_change(first, 2.0)
                 assert change.item is not None
-                self.assertEqual((change.item.revision, change.until), (newest, newest))
+                self.assertEqual((change.item.revision, change.through_revision), (newest, newest))
                 self.assertEqual(PlatformDecoder().configuration(change.item.value).version, 3)
                 platform.store.delete("op/config")
                 gone = ConfigurationChange(None, None, FIRST_EPOCH)
--- a/pondpin/tests/test_relay_dispatch.py
+++ b/pondpin/tests/test_relay_dispatch.py
@@ -75,14 +75,14 @@
 
     def test_a_stream_with_events_counts_its_patience_anew(self) -> None:
         self.now += 9.8
-        progress = Progress(events=3, last_at=self.now - 0.1)
+        progress = Progress(events=3, last_event_at=self.now - 0.1)
         self.call = replace(self.call, deadline=NOW + 30.0)
         verdict = self.turns.decide(self.call, progress, self.plan(FREE), None)
         self.assertIs(verdict, DispatchDecision.SEND)
 
     def test_a_stream_that_has_begun_goes_on_at_once(self) -> None:
         # Its caller gives up within seconds, and half an answer is worth nothing.
-        progress = Progress(events=13, last_at=self.now - 1.4)
+        progress = Progress(events=13, last_event_at=self.now - 1.4)
         busy = replace(FREE, start_delay=0.9, interference=80.0, first_event_seconds=9.9)
         verdict = self.turns.decide(self.call, progress, self.plan(busy), None)
         self.assertIs(verdict, DispatchDecision.SEND)
--- a/pondpin/tests/test_relay_engines.py
+++ b/pondpin/tests/test_relay_engines.py
@@ -32,15 +32,15 @@
 NOW = 1000.0
 PROFILE = EngineProfile(
     slots=8,
-    memory=450_000,
+    memory_tokens=450_000,
     stride=46,
-    step=0.000925,
-    per_writer=0.00000966,
-    per_context_k=0.00000254,
-    read_rate=256_000.0,
+    step_seconds=0.000925,
+    step_per_stream=0.00000966,
+    step_per_context_k=0.00000254,
+    prefill_rate=256_000.0,
     pair_cost=0.0917e-9,
-    chunk=2048,
-    hop=0.0001,
+    chunk_tokens=2048,
+    hop_seconds=0.0001,
 )
 IDLE = EngineLoad(0, 0.0, (), 0, ())
 CHATS = EngineLoad(4, 0.0, (), 24_000, (DecodeStreams(0.2, 4, 5.2),))
@@ -121,7 +121,7 @@
         assert choice is not None
         leased = choice.lease_tokens * (len(choice.helpers) + 1)
         self.assertGreaterEqual(leased, HUGE.prompt_tokens)
-        self.assertLessEqual(choice.lease_tokens, PROFILE.memory)
+        self.assertLessEqual(choice.lease_tokens, PROFILE.memory_tokens)
 
     def test_a_prompt_that_is_late_anyway_is_still_read_before_its_caller_gives_up(self) -> None:
         busy = replace(CHATS, decode_streams=(DecodeStreams(0.2, 6, 7.8),), in_flight=6)
@@ -167,7 +167,7 @@
         self.assertNotIn(choice.lead, choice.helpers)
         self.assertLessEqual(len(choice.helpers), 16)
         own = choice.lease_tokens or job.tokens
-        self.assertLessEqual(used + own, PROFILE.memory)
+        self.assertLessEqual(used + own, PROFILE.memory_tokens)
 
 
 def listed(name: str, center: str = "north", leaving: bool = False) -> ListedUpstream:
--- a/pondpin/tests/test_relay_leases.py
+++ b/pondpin/tests/test_relay_leases.py
@@ -7,12 +7,12 @@
 from hypothesis import strategies as st
 
 from pondpin.http_streams import CallFailedError
-from pondpin.relay.ports import Hear, LeaseAnswer, PartPlace
+from pondpin.relay.ports import HeadCallback, LeaseResponse, PartAssignment
 from pondpin.relay.upstreams.leases import HOLD_SECONDS, RENEW_SECONDS, LeaseManager
 from pondpin.tests.support import ListLog, run_async
 from pondpin.tools.virtual_time import run_virtual
 
-PLACES = tuple(PartPlace(f"i-{number}", "10.0.0.1", 80 + number) for number in range(4))
+PLACES = tuple(PartAssignment(f"i-{number}", "10.0.0.1", 80 + number) for number in range(4))
 
 
 class FakeEngines:
@@ -24,17 +24,26 @@
         self.releases = 0
 
     async def reserve(
-        self, host: str, port: int, lease: str, tokens: int, hold: float, timeout: float, hear: Hear
-    ) -> LeaseAnswer:
+        self,
+        host: str,
+        port: int,
+        lease: str,
+        tokens: int,
+        hold: float,
+        timeout: float,
+        hear: HeadCallback,
+    ) -> LeaseResponse:
         answer = self.answers.get(port, "held")
         if answer == "refused":
-            return LeaseAnswer.REFUSED
+            return LeaseResponse.REFUSED
         self.held.add(lease)
         if answer == "lost":
             raise CallFailedError("no answer", sent=True)
-        return LeaseAnswer.HELD
+        return LeaseResponse.HELD
 
-    async def release(self, host: str, port: int, lease: str, timeout: float, hear: Hear) -> bool:
+    async def release(
+        self, host: str, port: int, lease: str, timeout: float, hear: HeadCallback
+    ) -> bool:
         self.releases += 1
         self.held.discard(lease)
         return True
@@ -86,11 +95,11 @@
                     tokens: int,
                     hold: float,
                     timeout: float,
-                    hear: Hear,
-                ) -> LeaseAnswer:
+                    hear: HeadCallback,
+                ) -> LeaseResponse:
                     nonlocal until
                     until = max(until, loop.time() + hold - began)
-                    return LeaseAnswer.HELD
+                    return LeaseResponse.HELD
 
             leases = LeaseManager(Engine({}), "x", ListLog())
             group, _ = await leases.acquire("r", PLACES[:1], 1000)
--- a/pondpin/tests/test_relay_lifecycle.py
+++ b/pondpin/tests/test_relay_lifecycle.py
@@ -13,7 +13,7 @@
 from pondpin.relay.call import Progress, RelayCall
 from pondpin.relay.choosing.planner import Plan
 from pondpin.relay.entry import RelayEntry
-from pondpin.relay.model import RequestFacts, life_of
+from pondpin.relay.model import RequestMetadata, life_of
 from pondpin.relay.published.freshness import Proof, PublishedVersion
 from pondpin.relay.published.reader import BASE_KEY_MS
 from pondpin.relay_settings import RelayLimits
@@ -47,7 +47,7 @@
     return replace(
         make_call(5000),
         account=TENANT,
-        facts=RequestFacts("a1", HOST, KEY, 10.0, 5000, 800, ""),
+        metadata=RequestMetadata("a1", HOST, KEY, 10.0, 5000, 800, ""),
         incoming=Incoming("POST", "/stream/x", {}, {}, b""),
     )
 
@@ -198,7 +198,7 @@
         self.play(work)
 
     def is_stale(self, entry: RelayEntry) -> bool:
-        age = entry.beliefs().proof_age(entry.handler.clock())
+        age = entry.admission_state().proof_age(entry.handler.clock())
         return age > SHORT_KEY_MS / 1000
 
     def test_a_leaving_worker_gets_nothing_more(self) -> None:
--- a/pondpin/tests/test_relay_limit_log.py
+++ b/pondpin/tests/test_relay_limit_log.py
@@ -9,7 +9,7 @@
 from pondpin.metrics import Metrics
 from pondpin.notices import Notice
 from pondpin.relay.log import EventLog
-from pondpin.relay.model import AnswerHead, ListedUpstream
+from pondpin.relay.model import ListedUpstream, ResponseHead
 from pondpin.relay.upstreams.limit_handler import MAX_UNKNOWN_HEADERS
 from pondpin.relay.upstreams.notice_handler import REQUEST, NoticeHandler, SentRequest
 from pondpin.relay.upstreams.table import UpstreamTable
@@ -38,7 +38,7 @@
         asked = SentRequest("a", self.life, what, self.clock())
         self.clock.advance(0.1)
         notice = Notice(**said)
-        head = AnswerHead(200, "a1", False, None, False, True, None, "", notice, (), words)
+        head = ResponseHead(200, "a1", False, None, False, True, None, "", notice, (), words)
         self.hearing.handle_head(asked, head)
 
     def lines(self, event: str) -> list[dict[str, Any]]:
--- a/pondpin/tests/test_relay_lives.py
+++ b/pondpin/tests/test_relay_lives.py
@@ -12,7 +12,7 @@
 from pondpin.platform.documents import PlatformDecoder
 from pondpin.platform.store import PlatformStore
 from pondpin.relay.model import EngineReport, ListedUpstream, life_of
-from pondpin.relay.ports import Hear, LeaseAnswer, PartPlace
+from pondpin.relay.ports import HeadCallback, LeaseResponse, PartAssignment
 from pondpin.relay.published.documents import DocumentKind, PublishedItem
 from pondpin.relay.upstreams.leases import RENEW_SECONDS, LeaseManager
 from pondpin.relay.upstreams.reports import ReportClient
@@ -334,12 +334,21 @@
         self.orders: list[int] = []
 
     async def reserve(
-        self, host: str, port: int, lease: str, tokens: int, hold: float, timeout: float, hear: Hear
-    ) -> LeaseAnswer:
+        self,
+        host: str,
+        port: int,
+        lease: str,
+        tokens: int,
+        hold: float,
+        timeout: float,
+        hear: HeadCallback,
+    ) -> LeaseResponse:
         self.orders.append(port)
-        return LeaseAnswer.HELD
+        return LeaseResponse.HELD
 
-    async def release(self, host: str, port: int, lease: str, timeout: float, hear: Hear) -> bool:
+    async def release(
+        self, host: str, port: int, lease: str, timeout: float, hear: HeadCallback
+    ) -> bool:
         self.orders.append(port)
         return True
 
@@ -352,8 +361,8 @@
         async def work() -> None:
             leases = LeaseManager(engines, "x", ListLog(), lambda life: life in ended)
             places = (
-                PartPlace("a", "10.0.0.1", 80, life=1),
-                PartPlace("b", "10.0.0.1", 81, life=2),
+                PartAssignment("a", "10.0.0.1", 80, life=1),
+                PartAssignment("b", "10.0.0.1", 81, life=2),
             )
             group, _ = await leases.acquire("r", places, 1000)
             assert group is not None
@@ -373,7 +382,7 @@
             born: int | None = LATER
 
             async def read_report(
-                self, host: str, port: int, timeout: float, hear: Hear
+                self, host: str, port: int, timeout: float, hear: HeadCallback
             ) -> EngineReport:
                 return EngineReport(3, 0, self.born)
 
@@ -494,7 +503,7 @@
         async def work(platform: LocalPlatform) -> None:
             entry = platform.entries[0]
             for _ in range(5):
-                entry.changes.note_refused(DocumentKind.UPSTREAMS, "servers/a", "odd")
+                entry.publication_handler.log_rejected(DocumentKind.UPSTREAMS, "servers/a", "odd")
             text, _ = entry.metrics.render("")
             line = next(
                 item
--- a/pondpin/tests/test_relay_long_prefills.py
+++ b/pondpin/tests/test_relay_long_prefills.py
@@ -153,11 +153,11 @@
     def _place(self, member: int, call: RelayCall) -> None:
         now = self.fleet.now
         planner = self.planners[member]
-        plan = planner.plan(call, Progress(last_at=now), NOTHING)
+        plan = planner.plan(call, Progress(last_event_at=now), NOTHING)
         if plan is None or plan.choice is None:
             return
         states = (plan.lead, *plan.helpers)
-        key = planner.begin_attempt(call, Progress(last_at=now), plan)
+        key = planner.begin_attempt(call, Progress(last_event_at=now), plan)
         request = Request(member, key, plan, now, not plan.is_long, len(states))
         if request.light:
             self._check(request)
--- a/pondpin/tests/test_relay_notice_fleet.py
+++ b/pondpin/tests/test_relay_notice_fleet.py
@@ -14,7 +14,7 @@
 from pondpin.metrics import Metrics
 from pondpin.notices import Notice
 from pondpin.relay.log import EventLog
-from pondpin.relay.model import AnswerHead, ListedUpstream
+from pondpin.relay.model import ListedUpstream, ResponseHead
 from pondpin.relay.peers.digest_builder import MAX_DIGEST_LEAVING
 from pondpin.relay.upstreams.notice_handler import REQUEST, NoticeHandler, SentRequest
 from pondpin.relay.upstreams.table import UpstreamTable
@@ -156,7 +156,7 @@
         life.wishes.note(instance.sender, now, life.says_leaving, life.rest)
         notice = Notice(life.says_leaving, life.rest)
         status = 503 if life.rest else 200
-        head = AnswerHead(status, "a", bool(life.rest), None, False, True, None, "", notice, ())
+        head = ResponseHead(status, "a", bool(life.rest), None, False, True, None, "", notice, ())
         instance.hearing.handle_head(SentRequest(state.id, state.life, REQUEST, now), head)
         if not life.rest:
             state.standing.note_taken(now)
--- a/pondpin/tests/test_relay_notice_paths.py
+++ b/pondpin/tests/test_relay_notice_paths.py
@@ -15,13 +15,13 @@
 from pondpin.notices import Notice
 from pondpin.relay.attempts.passive_health import PassiveHealth
 from pondpin.relay.attempts.placer import REST_WAIT_SHARE
-from pondpin.relay.call import AttemptEnd, EndKind, WholeReply
+from pondpin.relay.call import AttemptEnd, BufferedResponse, EndKind
 from pondpin.relay.choosing.planner import Plan
 from pondpin.relay.choosing.retry_window import RetryWindow
 from pondpin.relay.entry import RelayEntry
 from pondpin.relay.log import EventLog
-from pondpin.relay.model import AnswerHead, ListedUpstream, life_of
-from pondpin.relay.ports import PartPlace
+from pondpin.relay.model import ListedUpstream, ResponseHead, life_of
+from pondpin.relay.ports import PartAssignment
 from pondpin.relay.published.publication import RELIST_GRACE_SECONDS
 from pondpin.relay.upstreams.notice_handler import NoticeHandler
 from pondpin.relay.upstreams.probe import is_probe_due
@@ -100,12 +100,12 @@
             state = state_of(entry, "plain-0")
             state.needs_probe = True
             await platform.until(lambda: state.leaving)
-            await entry.late.reports.query_status(state_of(entry, "engine-0"))
+            await entry.lazy.reports.query_status(state_of(entry, "engine-0"))
             self.assertIs(self.heard(platform, "engine-0"), Bar.LEAVES)
             engine = state_of(entry, "engine-1")
             listed = engine.listed
-            part = PartPlace(listed.id, listed.host, listed.port, life=listed.life)
-            group, _ = await entry.late.leases.acquire("r", (part,), 100)
+            part = PartAssignment(listed.id, listed.host, listed.port, life=listed.life)
+            group, _ = await entry.lazy.leases.acquire("r", (part,), 100)
             self.assertIsNotNone(group)
             self.assertIs(self.heard(platform, "engine-1"), Bar.LEAVES)
 
@@ -306,7 +306,7 @@
     def test_a_word_of_a_helper_that_comes_while_leases_are_taken_is_heeded(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             entry = platform.entries[0]
-            take = entry.late.leases.acquire
+            take = entry.lazy.leases.acquire
             barred: list[str] = []
 
             async def take_slowly(request: str, places: Any, tokens: int) -> Any:
@@ -318,7 +318,7 @@
                     )
                 return result
 
-            with mock.patch.object(entry.late.leases, "acquire", take_slowly):
+            with mock.patch.object(entry.lazy.leases, "acquire", take_slowly):
                 answer = await ask(platform, "long", "relay-0.long", x_token_usage="460000,500")
             self.assertEqual(answer.status, 200)
             self.assertTrue(barred)
@@ -414,7 +414,7 @@
                 state.needs_probe = True
                 self.assertFalse(is_probe_due(state, now))
                 # It spoke a moment ago: its silence is no reason to ask.
-                self.assertTrue(await entry.late.reports.query_status(state))
+                self.assertTrue(await entry.lazy.reports.query_status(state))
             self.assertEqual(sum(w.reports for w in platform.workers_by_id.values()), 0)
 
         self.play(work)
@@ -434,10 +434,10 @@
             judge = PassiveHealth(table, hearing, metrics, log, clock)
             plan = Plan(table.by_id["a"], (), None, 1)
             notice = Notice(rest=rest)
-            head = AnswerHead(503, "a1", False, None, False, True, None, "", notice, ())
+            head = ResponseHead(503, "a1", False, None, False, True, None, "", notice, ())
             began = clock()
             judge.observe_head(plan, head, clock())
-            end = AttemptEnd(EndKind.ANSWERED, answer=WholeReply(503, (), b""))
+            end = AttemptEnd(EndKind.ANSWERED, response=BufferedResponse(503, (), b""))
             judge.observe_end(plan, end, began)
             self.assertEqual(plan.lead.health.failures, failures)
 
--- a/pondpin/tests/test_relay_planner.py
+++ b/pondpin/tests/test_relay_planner.py
@@ -17,7 +17,7 @@
     EngineProfile,
     ListedUpstream,
     RelayConfiguration,
-    RequestFacts,
+    RequestMetadata,
     Route,
     RouteKind,
     Service,
@@ -44,13 +44,13 @@
     return RelayCall(
         incoming=nothing,
         reply=nothing,
-        facts=RequestFacts("a1", "h", "", 10.0, prompt_tokens, 800, ""),
+        metadata=RequestMetadata("a1", "h", "", 10.0, prompt_tokens, 800, ""),
         route=route,
         service="engines",
         account="",
         rank=1,
         configuration=configuration,
-        arrived=NOW,
+        arrived_at=NOW,
         deadline=NOW + 10.0,
     )
 
--- a/pondpin/tests/test_relay_publication.py
+++ b/pondpin/tests/test_relay_publication.py
@@ -418,18 +418,18 @@
     def test_lines_are_bounded_and_refusals_go_last(self) -> None:
         import os
 
-        from pondpin.relay.log_events import CallerGone, PublishedRefused
+        from pondpin.relay.log_events import CallerDisconnected, PublishedRejected
 
         clock = FakeClock()
         reading, writing = os.pipe()
         log = EventLog("i", clock, clock, writing)
         log.open()
         for _ in range(2000):
-            log.write(CallerGone(request="r", route="x", after_ms=1, events=0))
+            log.write(CallerDisconnected(request="r", route="x", after_ms=1, events=0))
         for _ in range(100):
-            log.write(PublishedRefused(key="k", reason="r"))
+            log.write(PublishedRejected(key="k", reason="r"))
         clock.advance(1.0)
-        log.write(PublishedRefused(key="k", reason="last"))
+        log.write(PublishedRejected(key="k", reason="last"))
         log.flush()
         lines = os.read(reading, 1 << 20).splitlines()
         kinds = [msgspec.json.decode(line)["event"] for line in lines]
@@ -443,7 +443,7 @@
     def test_a_full_pipe_is_not_waited_for(self) -> None:
         import os
 
-        from pondpin.relay.log_events import PublishedRefused
+        from pondpin.relay.log_events import PublishedRejected
 
         clock = FakeClock()
         reading, writing = os.pipe()
@@ -452,11 +452,11 @@
         for _ in range(400):
             clock.advance(1.0)
             for _ in range(20):
-                log.write(PublishedRefused(key="k", reason="x" * 1000))
+                log.write(PublishedRejected(key="k", reason="x" * 1000))
             log.flush()
         self.assertGreater(log.dropped, 0)
         os.close(reading)
-        log.write(PublishedRefused(key="k", reason="nobody reads"))
+        log.write(PublishedRejected(key="k", reason="nobody reads"))
         log.flush()
         os.close(writing)
 
--- a/pondpin/tests/test_relay_quarantine.py
+++ b/pondpin/tests/test_relay_quarantine.py
@@ -103,12 +103,12 @@
 
 
 def ends_of(entry: RelayEntry, identity: int) -> list[LifeEnd]:
-    ends = entry.guard.quarantine.ends_by_identity.get(identity, {})
+    ends = entry.crash_guard.quarantine.ends_by_identity.get(identity, {})
     return [end for end in ends.values() if not end.void]
 
 
 def suspects(entry: RelayEntry) -> list[str]:
-    return [held.identity for held in held_requests(entry.guard)]
+    return [held.identity for held in held_requests(entry.crash_guard)]
 
 
 class GuardCase(RelayTest):
@@ -179,7 +179,7 @@
             await ask(platform, "once")
             for state in first.table.of_service(PLAIN):
                 first.table.mark_leaving(state.life)
-            first.guard.step(first.guard.clock())
+            first.crash_guard.step(first.crash_guard.clock())
             self.assertEqual(ends_of(first, identity_of("once", b"question")), [])
 
         self.play(work)
@@ -208,17 +208,17 @@
             async def refuse(host: str, port: int) -> Reach:
                 return Reach.REFUSED
 
-            with mock.patch.object(first.guard.tracker, "reach", refuse):
+            with mock.patch.object(first.crash_guard.tracker, "reach", refuse):
                 await ask(platform, "again", "a1")
             # The second try was served, which clears the request; others are still suspect.
             state, other = first.table.of_service(PLAIN)[:2]
-            now = first.guard.clock()
+            now = first.crash_guard.clock()
             for identity, place in ((7, state), (8, other)):
-                first.guard.quarantine.note_end(identity, LifeEnd(place.life, now))
-                run = first.guard.tracker.begin(9, (place,), 0.0)
+                first.crash_guard.quarantine.note_end(identity, LifeEnd(place.life, now))
+                run = first.crash_guard.tracker.begin(9, (place,), 0.0)
                 run.began = now - 1.0 if identity == 7 else now + 0.5
                 run.last_data_at = place.last_seen_at = now + 1.0
-            first.guard.step(now + 1.0)
+            first.crash_guard.step(now + 1.0)
             # What came on a newer connection may be a later life's.
             self.assertEqual((ends_of(first, 7), len(ends_of(first, 8))), ([], 1))
 
@@ -229,11 +229,11 @@
             await self.until_listed(platform)
             first = platform.entries[0]
             state = first.table.of_service(ENGINES)[0]
-            now = first.guard.clock()
-            first.guard.quarantine.note_end(7, LifeEnd(state.life, now - LIST_LAG_SECONDS))
-            first.guard.quarantine.note_end(8, LifeEnd(12345, now - LIST_LAG_SECONDS))
-            with mock.patch.object(first.guard, "list_at", lambda: now + 1.0):
-                first.guard.step(now + 1.0)
+            now = first.crash_guard.clock()
+            first.crash_guard.quarantine.note_end(7, LifeEnd(state.life, now - LIST_LAG_SECONDS))
+            first.crash_guard.quarantine.note_end(8, LifeEnd(12345, now - LIST_LAG_SECONDS))
+            with mock.patch.object(first.crash_guard, "list_at", lambda: now + 1.0):
+                first.crash_guard.step(now + 1.0)
             self.assertEqual((ends_of(first, 7), len(ends_of(first, 8))), ([], 1))
 
         self.play(work)
@@ -285,10 +285,10 @@
         await platform.until(knows)
 
     def prove(self, entry: RelayEntry, identity: int, ends: int) -> None:
-        now = entry.guard.clock()
+        now = entry.crash_guard.clock()
         for life in range(ends):
             end = LifeEnd(1000 + life, now, settled=True)
-            entry.guard.quarantine.note_end(identity, end)
+            entry.crash_guard.quarantine.note_end(identity, end)
 
     def test_a_quarantined_request_is_refused_at_once_and_truly_has_not_run(self) -> None:
         async def work(platform: LocalPlatform) -> None:
@@ -348,7 +348,7 @@
                 self.prove(entry, identity, 1)
             one = asyncio.ensure_future(ask(platform, "stream", "one", 0))
             await platform.until(lambda: busy(platform))
-            second = platform.entries[1].guard
+            second = platform.entries[1].crash_guard
             await platform.until(lambda: second.quarantine.is_running(identity, second.clock()))
             other = asyncio.ensure_future(ask(platform, "stream", "other", 1))
             # The first one's whole answer clears it; only then the other one runs.
@@ -394,17 +394,17 @@
                 return Reach.SILENT
 
             with (
-                mock.patch.object(first.guard.tracker, "reach", reach),
+                mock.patch.object(first.crash_guard.tracker, "reach", reach),
                 mock.patch("pondpin.relay.attempts.liveness_checks.ANSWER_SECONDS", 30.0),
             ):
                 task = asyncio.ensure_future(ask(platform, "stream", body=DEADLY))
                 await looking.wait()
-                self.assertTrue(first.guard.quarantine_sync.running_by_identity)
+                self.assertTrue(first.crash_guard.quarantine_sync.running_by_identity)
                 task.cancel()
                 await platform.until(lambda: not first.handler.open_requests)
-            self.assertEqual(first.guard.quarantine_sync.running_by_identity, {})
+            self.assertEqual(first.crash_guard.quarantine_sync.running_by_identity, {})
             looked.set()
-            await platform.until(lambda: not first.guard.tracker.looks._looks_by_life)
+            await platform.until(lambda: not first.crash_guard.tracker.looks._looks_by_life)
 
         self.play(work)
 
@@ -447,7 +447,7 @@
 
     def count_answered(self, platform: LocalPlatform) -> int:
         """Requests that have been answered for a while by the upstream they are at."""
-        lives = [entry.guard.tracker for entry in platform.entries]
+        lives = [entry.crash_guard.tracker for entry in platform.entries]
         return sum(
             run.was_answered(watch.clock())
             for watch in lives
@@ -468,7 +468,7 @@
             await platform.restart_instance(1)
             await platform.until(lambda: platform.entries[1].ready)
             identity = identity_of("stream")
-            judgement = held_requests(platform.entries[1].guard)
+            judgement = held_requests(platform.entries[1].crash_guard)
             self.assertEqual([item.identity for item in judgement], [show(identity)])
             await ask_deadly(platform, "stream", 1)
             self.assertEqual(crashes(platform), ended)
--- a/pondpin/tests/test_relay_reports.py
+++ b/pondpin/tests/test_relay_reports.py
@@ -7,7 +7,7 @@
 from pondpin.http_streams import CallFailedError
 from pondpin.relay.log import EventLog
 from pondpin.relay.model import EngineReport, ListedUpstream
-from pondpin.relay.ports import Hear
+from pondpin.relay.ports import HeadCallback
 from pondpin.relay.upstreams.reports import REPORT_CACHE_SECONDS, ReportClient
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.work import Work
@@ -22,7 +22,9 @@
         self.answer = EngineReport(running=3, waiting=0)
         self.lost = False
 
-    async def read_report(self, host: str, port: int, timeout: float, hear: Hear) -> EngineReport:
+    async def read_report(
+        self, host: str, port: int, timeout: float, hear: HeadCallback
+    ) -> EngineReport:
         self.asked += 1
         await asyncio.sleep(0)
         if self.lost:
--- a/pondpin/tests/test_relay_rules.py
+++ b/pondpin/tests/test_relay_rules.py
@@ -21,7 +21,7 @@
 from pondpin.relay.model import (
     ClientAccount,
     RelayConfiguration,
-    RequestFacts,
+    RequestMetadata,
     Route,
     RouteKind,
     ServiceShare,
@@ -44,10 +44,10 @@
         "prefix": prefix,
         "kind": RouteKind.UNSAFE,
         "timeout": 2.0,
-        "target": 0.3,
+        "latency_target": 0.3,
         "priority": 3,
         "shares": (ServiceShare("one", 90), ServiceShare("two", 10)),
-        "attempts": 1,
+        "max_attempts": 1,
         "public": False,
         "resumable": False,
         "gap_target": 0.0,
@@ -61,17 +61,17 @@
     return RelayConfiguration(7, {"a.example": ordered}, {}, accounts)
 
 
-def facts(**changes: object) -> RequestFacts:
+def facts(**changes: object) -> RequestMetadata:
     values: dict[str, object] = {
         "attempt_id": "1",
         "host": "a.example",
-        "key": "key",
-        "deadline": 4.0,
+        "api_key": "key",
+        "timeout": 4.0,
         "prompt_tokens": 0,
         "answer_tokens": 0,
         "resume_after": "",
     }
-    return RequestFacts(**(values | changes))  # type: ignore[arg-type]
+    return RequestMetadata(**(values | changes))  # type: ignore[arg-type]
 
 
 class RoutingTest(unittest.TestCase):
@@ -115,7 +115,7 @@
     def test_the_shorter_of_both_time_limits_counts(self) -> None:
         admitted = self.admit(0.1)
         self.assertEqual(getattr(admitted, "seconds", None), 2.0)
-        self.assertEqual(getattr(self.admit(0.1, deadline=0.5), "seconds", None), 0.5)
+        self.assertEqual(getattr(self.admit(0.1, timeout=0.5), "seconds", None), 0.5)
 
     def test_the_account_sets_the_rank(self) -> None:
         admitted = self.admit(0.1)
@@ -130,7 +130,7 @@
         admitted = self.admit(100.0, None)
         self.assertEqual(getattr(admitted, "account", None), "riders")
         with self.assertRaises(PondpinError) as caught:
-            self.admit(100.0, None, key="other")
+            self.admit(100.0, None, api_key="other")
         self.assertEqual(caught.exception.code, Code.NOT_PROVED)
 
     def test_callers_come_back_when_a_proof_is_likely(self) -> None:
@@ -164,8 +164,8 @@
         self.assertEqual(error.retry_after, RETRY_SECONDS)
 
     def test_an_unknown_key_is_final_only_when_the_version_is_sure(self) -> None:
-        self.assertEqual(self.code(0.1, key="other"), Code.UNKNOWN_KEY)
-        self.assertEqual(self.code(FRESH_PROOF_SECONDS + 0.01, key="other"), Code.NOT_PROVED)
+        self.assertEqual(self.code(0.1, api_key="other"), Code.UNKNOWN_KEY)
+        self.assertEqual(self.code(FRESH_PROOF_SECONDS + 0.01, api_key="other"), Code.NOT_PROVED)
 
     def test_an_unknown_host_is_final_only_when_the_version_is_sure(self) -> None:
         self.assertEqual(self.code(0.1, host="x"), Code.UNKNOWN_PATH)
--- a/pondpin/tests/test_relay_stall_timeouts.py
+++ b/pondpin/tests/test_relay_stall_timeouts.py
@@ -12,7 +12,7 @@
 from pondpin.relay.choosing.retry_window import MIN_INSTANCES, RetryBounds, RetryWindow
 from pondpin.relay.choosing.stall_timeouts import StallTimeouts, stall_timeouts_for
 from pondpin.relay.mechanisms import Mechanism
-from pondpin.relay.model import AnswerHead, ListedUpstream
+from pondpin.relay.model import ListedUpstream, ResponseHead
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.tests.test_relay_planner import make_call
 from pondpin.tools.virtual_time import run_virtual
@@ -32,7 +32,7 @@
             and found.query_seconds is not None
         )
         self.assertLess(found.query_seconds, found.first_event_seconds)
-        self.assertLess(found.gap_seconds, make_call(5000).patience)
+        self.assertLess(found.gap_seconds, make_call(5000).caller_timeout)
 
     def test_silence_does_not_end_the_last_attempt(self) -> None:
         self.assertEqual(stall_timeouts_for(make_call(5000), PLAN, POLICY, False), ENDLESS)
@@ -53,7 +53,7 @@
     def __init__(self, may_go_elsewhere: bool) -> None:
         self._may_go_elsewhere = may_go_elsewhere
 
-    def on_head(self, head: AnswerHead) -> None: ...
+    def on_head(self, head: ResponseHead) -> None: ...
 
     def on_first_event(self) -> None: ...
 
--- a/pondpin/tests/test_store_epochs.py
+++ b/pondpin/tests/test_store_epochs.py
@@ -91,7 +91,7 @@
             try:
                 read = await store.read_configuration(2.0)
                 listed = await store.read_upstreams(2.0)
-                change = await store.read_change(listed.at, 2.0)
+                change = await store.read_change(listed.revision, 2.0)
                 items = (read.item, *listed.items)
                 self.assertEqual({item.epoch for item in items if item is not None}, {5})
                 self.assertEqual((read.epoch, listed.epoch, change.epoch), (5, 5, 5))
@@ -101,7 +101,7 @@
                 change = await store.read_change(0, 2.0)
                 self.assertEqual(change, ConfigurationChange(None, None, 5))
                 # A watch from a revision that only the lost history had.
-                change = await store.read_change(listed.at + 99, 2.0)
+                change = await store.read_change(listed.revision + 99, 2.0)
                 self.assertEqual(change, ConfigurationChange(None, None, 5))
             finally:
                 await platform.stop()
--- a/pondpin/tests/test_suspended.py
+++ b/pondpin/tests/test_suspended.py
@@ -26,7 +26,7 @@
 from pondpin.relay.log import EventLog
 from pondpin.relay.model import EngineReport, ListedUpstream
 from pondpin.relay.peers.digests import PeerRecord, PeerTable
-from pondpin.relay.ports import Hear, LeaseAnswer, PartPlace
+from pondpin.relay.ports import HeadCallback, LeaseResponse, PartAssignment
 from pondpin.relay.published.freshness import PublishedVersion
 from pondpin.relay.upstreams.leases import UNUSED_SECONDS, LeaseGroup, LeaseManager
 from pondpin.relay.upstreams.reports import ReportClient
@@ -148,7 +148,7 @@
             asked = 0
 
             async def read_report(
-                self, host: str, port: int, timeout: float, hear: Hear
+                self, host: str, port: int, timeout: float, hear: HeadCallback
             ) -> EngineReport:
                 self.asked += 1
                 return EngineReport(0, 0)
@@ -173,9 +173,9 @@
         class Port:
             renewed = 0
 
-            async def reserve(self, *arguments: Any) -> LeaseAnswer:
+            async def reserve(self, *arguments: Any) -> LeaseResponse:
                 self.renewed += 1
-                return LeaseAnswer.HELD
+                return LeaseResponse.HELD
 
             async def release(self, *arguments: Any) -> bool:
                 return True
@@ -184,7 +184,7 @@
             port = Port()
             log = EventLog("a", steady_now, time.time, NO_DESCRIPTOR)
             leases = LeaseManager(port, "a", log)
-            group = LeaseGroup("r", (PartPlace("e0", "10.0.0.1", 80, "l"),), 1000)
+            group = LeaseGroup("r", (PartAssignment("e0", "10.0.0.1", 80, "l"),), 1000)
             keeping = asyncio.ensure_future(leases.keep_alive(group, 0.1, lambda: False))
             await asyncio.sleep(0)
             self.suspend(UNUSED_SECONDS + 1.0)
@@ -235,9 +235,9 @@
     def test_keys_are_refused_whose_proof_is_older_than_it_seems(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             entry = platform.entries[0]
-            self.assertTrue(entry.beliefs().accepts_keys(steady_now()))
+            self.assertTrue(entry.admission_state().accepts_keys(steady_now()))
             self.clocks.away += AWAY_SECONDS
-            self.assertFalse(entry.beliefs().accepts_keys(steady_now()))
+            self.assertFalse(entry.admission_state().accepts_keys(steady_now()))
             self.assertFalse(entry.ready)
             # It reads the source again and serves.
             await platform.until(lambda: entry.ready)
@@ -251,7 +251,7 @@
             publication.receive_peer_version(PublishedVersion(10**6), steady_now())
             self.clocks.away += 2.0
             self.assertGreaterEqual(publication.behind_seconds(steady_now()), 2.0)
-            beliefs = platform.entries[0].beliefs()
+            beliefs = platform.entries[0].admission_state()
             self.assertGreaterEqual(beliefs.behind_seconds, beliefs.max_behind_seconds)
 
         self.play(work)
