--- a/pondpin/relay/entry.py
+++ b/pondpin/relay/entry.py
@@ -26,12 +26,16 @@
 from pondpin.relay.attempts.run_tracker import RunTracker
 from pondpin.relay.attempts.send_checks import SendChecks
 from pondpin.relay.caller_limits import caller_limits
-from pondpin.relay.changes import PublicationHandler
 from pondpin.relay.choosing.dispatch import Dispatcher
 from pondpin.relay.choosing.planner import Planner, RelayPolicy
 from pondpin.relay.choosing.retry_window import RetryBounds
 from pondpin.relay.housekeeping import HousekeepingController
-from pondpin.relay.late_parts import OPERATOR_PATHS, PIECES_PATH, LazyComponents, LazyPieceClient
+from pondpin.relay.lazy_components import (
+    OPERATOR_PATHS,
+    PIECES_PATH,
+    LazyComponents,
+    LazyPieceClient,
+)
 from pondpin.relay.log import EventLog
 from pondpin.relay.log_events import (
     Reloaded,
@@ -43,6 +47,7 @@
 from pondpin.relay.peers.controller import GossipController
 from pondpin.relay.peers.gossip import Gossip
 from pondpin.relay.peers.hosts import GossipAddress
+from pondpin.relay.publication_handler import PublicationHandler
 from pondpin.relay.published.freshness import is_fresh
 from pondpin.relay.published.publication import Publication
 from pondpin.relay.published.reader import ReaderController, renewal_scale
--- a/pondpin/relay/late_parts.py
+++ b/pondpin/relay/lazy_components.py
@@ -18,7 +18,7 @@
 
 if TYPE_CHECKING:
     from pondpin.relay.attempts.permit_acquirer import PermitAcquirer
-    from pondpin.relay.operations import OperatorApi
+    from pondpin.relay.operator_api import OperatorApi
     from pondpin.relay.published.document_server import DocumentServer
     from pondpin.relay.published.pieces import FetchPieceReply, FetchPieceRequest, HttpPieceClient
     from pondpin.relay.upstreams.leases import LeaseManager
@@ -131,7 +131,7 @@
     @cached_property
     def operator_api(self) -> "OperatorApi":
         """What operators ask at the metrics address."""
-        from pondpin.relay.operations import OperatorApi
+        from pondpin.relay.operator_api import OperatorApi
 
         return OperatorApi(
             self._gossip.table,
--- a/pondpin/relay/operations.py
+++ b/pondpin/relay/operator_api.py
@@ -14,7 +14,7 @@
 from pondpin.metrics import Metrics
 from pondpin.quarantine import Verdict
 from pondpin.relay.attempts.crash_guard import CrashGuard
-from pondpin.relay.late_parts import PUBLISHED_PATH, QUARANTINE_PATH, UPSTREAMS_PATH
+from pondpin.relay.lazy_components import PUBLISHED_PATH, QUARANTINE_PATH, UPSTREAMS_PATH
 from pondpin.relay.published.publication import Publication
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.table import UpstreamTable
--- a/pondpin/tests/test_relay_rooms.py
+++ b/pondpin/tests/test_relay_layers.py
@@ -10,7 +10,7 @@
 # What all may use comes first; those of `WHOLE` put all together.
 SHARED = "shared"
 ORDER = (SHARED, "published", "upstreams", "choosing", "peers", "attempts", "whole")
-WHOLE = ("entry", "late_parts", "changes", "housekeeping", "operations")
+WHOLE = ("entry", "lazy_components", "publication_handler", "housekeeping", "operator_api")
 # `ports` names the items of the published list, the one word that the shared modules take from a
 # room.
 ALLOWED = {("ports", "published.documents")}
--- a/pondpin/tests/test_relay_quarantine.py
+++ b/pondpin/tests/test_relay_quarantine.py
@@ -25,8 +25,8 @@
 from pondpin.relay.attempts.run_tracker import LIST_LAG_SECONDS, Run
 from pondpin.relay.choosing.retry_window import RetryWindow
 from pondpin.relay.entry import RelayEntry
-from pondpin.relay.late_parts import QUARANTINE_PATH
-from pondpin.relay.operations import held_requests
+from pondpin.relay.lazy_components import QUARANTINE_PATH
+from pondpin.relay.operator_api import held_requests
 from pondpin.request_identity import identify, make_key, show
 from pondpin.standins.local_platform import (
     ENGINES,
