--- a/pondpin/callers.py
+++ b/pondpin/callers.py
@@ -14,7 +14,7 @@
 from pondpin.codes import Code, Ran
 from pondpin.decisions import Decision, DecisionLog, Ended
 from pondpin.errors import PondpinError
-from pondpin.filters.identify import IdentifyFilter
+from pondpin.filters.identify import AuthenticationFilter
 from pondpin.filters.once import NEXT_TOKEN_HEADER, TokenIssuer
 from pondpin.http_reply import Incoming, Reply
 from pondpin.http_server import REPEAT_HEADERS, WebServer
@@ -73,7 +73,7 @@
 
     identity: Identity
     chain: Proceed
-    identify: IdentifyFilter
+    identify: AuthenticationFilter
     issuer: TokenIssuer
     metrics: InterfaceMetrics
     decisions: DecisionLog
--- a/pondpin/controllers/configuration.py
+++ b/pondpin/controllers/configuration.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RefusedRevision:
+class RejectedRevision:
     """A revision, as a position, that failed the check, with its numbered faults."""
 
     revision: int
@@ -44,9 +44,9 @@
         self.snapshot: Snapshot | None = None
         self.document = b""
         self.floor = 0
-        self.refused: RefusedRevision | None = None
+        self.rejected: RejectedRevision | None = None
         # The last position whose value was an older one, brought back by a restored platform.
-        self.left_out = 0
+        self.ignored_position = 0
         # Hashes of the documents that were in force, the last of them now.
         self._contents: deque[int] = deque(maxlen=KEPT_CONTENTS)
 
@@ -58,14 +58,14 @@
     @property
     def seen_revision(self) -> int:
         """The highest revision looked at: in force, refused or left out."""
-        refused = self.refused.revision if self.refused is not None else 0
-        return max(self.revision, refused, self.left_out)
+        refused = self.rejected.revision if self.rejected is not None else 0
+        return max(self.revision, refused, self.ignored_position)
 
     def raise_floor(self, revision: int) -> None:
         """Some peer, fence or token shows that this revision was in force."""
         self.floor = max(self.floor, revision)
 
-    def offer(self, revision: int, document: bytes, source: str) -> bool:
+    def apply(self, revision: int, document: bytes, source: str) -> bool:
         """Take a configuration if it is newer and sound; says whether it is now in force."""
         result = self._judge(revision, document)
         self._metrics.configurations.inc({"source": source, "result": result})
@@ -82,7 +82,7 @@
             configuration = decode_configuration(document, f"revision {revision}")
         except (InvalidFileError, ValueError) as error:
             faults = error.numbered() if isinstance(error, InvalidFileError) else str(error)
-            self.refused = RefusedRevision(revision, faults)
+            self.rejected = RejectedRevision(revision, faults)
             logging.warning("revision %d refused:\n%s", revision, faults)
             return "refused"
         content = xxhash.xxh64_intdigest(document)
@@ -101,11 +101,11 @@
         if known and configuration.version:
             return configuration.version < known
         # Without versions the first document of an epoch is the copy's, unless it is new here.
-        is_first = epoch_of(revision) > epoch_of(max(self.revision, self.left_out))
+        is_first = epoch_of(revision) > epoch_of(max(self.revision, self.ignored_position))
         return is_first and content in list(self._contents)[:-1]
 
     def _leave_out(self, revision: int) -> None:
-        self.left_out = revision
+        self.ignored_position = revision
         logging.warning(
             "epoch %d revision %d left out: older than epoch %d revision %d in force",
             epoch_of(revision),
@@ -154,25 +154,25 @@
         self._watch_seconds = watch_seconds
         self._retry_seconds = retry_seconds
         self._random = rng
-        self.platform_answers = False
+        self.platform_reachable = False
 
     async def step(self) -> None:
         """One watch; after a failure the next waits a random part of the retry time."""
         # The first read does not wait, so that it is soon known whether the platform answers.
-        wait = self._watch_seconds if self.platform_answers else 0.0
+        wait = self._watch_seconds if self.platform_reachable else 0.0
         try:
             published = await self._platform.watch(self._store.seen_revision, wait)
         except CallFailedError as error:
-            if self.platform_answers:
+            if self.platform_reachable:
                 logging.warning("the platform does not answer: %s", error)
-            self.platform_answers = False
+            self.platform_reachable = False
             self.period = self._retry_seconds * (0.5 + self._random.random())
             return
-        if not self.platform_answers:
+        if not self.platform_reachable:
             logging.info("the platform answers")
-        self.platform_answers = True
+        self.platform_reachable = True
         self.period = 0.0
-        if published is not None and not self._store.offer(
+        if published is not None and not self._store.apply(
             published.position, published.document, "platform"
         ):
             # A platform that serves an old value must not be asked in a tight loop.
--- a/pondpin/controllers/keys.py
+++ b/pondpin/controllers/keys.py
@@ -8,7 +8,7 @@
 PERIOD_SECONDS = 5.0
 
 
-class KeyController(Controller):
+class TlsReloadController(Controller):
     """Looks at the files now and then; other listeners look at each new connection."""
 
     period = PERIOD_SECONDS
--- a/pondpin/controllers/orphans.py
+++ b/pondpin/controllers/orphans.py
@@ -22,11 +22,11 @@
 class HolderView:
     """What is known of the holder of some work: its newest incarnation, 0 when unknown."""
 
-    own: bool
+    is_self: bool
     newest_incarnation: int
 
 
-def find_orphan(
+def orphan_cause(
     held: HeldWork, holder: HolderView, known_here: bool, wall_now: float, grace: float
 ) -> str:
     """Why work on an engine is an orphan; empty when it is not one.
@@ -39,7 +39,7 @@
         return "past its deadline"
     if holder.newest_incarnation > held.incarnation:
         return "of an earlier incarnation"
-    own_life = holder.own and holder.newest_incarnation == held.incarnation
+    own_life = holder.is_self and holder.newest_incarnation == held.incarnation
     return "not known to its holder" if own_life and not known_here else ""
 
 
@@ -96,7 +96,7 @@
             else (held.request, held.attempt, state.name)
         )
         known = key in self._ledger.holds_by_key
-        cause = find_orphan(held, holder, known, self._wall_clock(), self._grace)
+        cause = orphan_cause(held, holder, known, self._wall_clock(), self._grace)
         if not cause:
             return
         # A report lags: what was just sent or just ended is an orphan only when seen twice.
--- a/pondpin/controllers/peers.py
+++ b/pondpin/controllers/peers.py
@@ -57,7 +57,7 @@
         """Tell of oneself and hear of the peer."""
         ...
 
-    async def fetch(
+    async def fetch_configuration(
         self, address: str, request: FetchConfigurationRequest, timeout: float
     ) -> FetchConfigurationReply:
         """Read the peer's configuration."""
@@ -72,7 +72,7 @@
         ...
 
 
-class GrpcPeers:
+class GrpcPeerClient:
     """PeerPort over grpclib, one channel for each peer."""
 
     def __init__(self, metrics: Metrics, ssl_context: Callable[[], object | None]) -> None:
@@ -80,10 +80,10 @@
         self._ssl_context = ssl_context
         self._channels_by_address: dict[str, Channel] = {}
         # Addresses that experiments cut off: calls to them fail as on a broken network.
-        self.blocked: set[str] = set()
+        self.blocked_addresses: set[str] = set()
 
     def _stub(self, address: str) -> PeerStub:
-        if address in self.blocked:
+        if address in self.blocked_addresses:
             raise PeerUnreachableError("cut off")
         channel = self._channels_by_address.get(address)
         if channel is None:
@@ -108,7 +108,7 @@
         self._count(request.ByteSize(), reply.ByteSize())
         return reply
 
-    async def fetch(
+    async def fetch_configuration(
         self, address: str, request: FetchConfigurationRequest, timeout: float
     ) -> FetchConfigurationReply:
         """See PeerPort."""
@@ -152,7 +152,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SelfReport:
+class InstanceStatus:
     """What this instance tells of itself."""
 
     revision: int
@@ -164,25 +164,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rhythm:
+class HeartbeatSettings:
     """How often heartbeats go out (seconds), to how many, and the fewest rounds of silence."""
 
     period: float
     fan_out: int
-    rounds: int
+    min_silent_rounds: int
 
 
-class PeerBook:
+class PeerRegistry:
     """The table of peers, and the building and taking of heartbeats."""
 
     def __init__(
         self,
         identity: Identity,
         address: str,
-        report: Callable[[], SelfReport],
+        report: Callable[[], InstanceStatus],
         on_heard: Callable[[HeartbeatRequest], None],
         clock: Clock,
-        rhythm: Rhythm,
+        rhythm: HeartbeatSettings,
     ) -> None:
         self.identity = identity
         self._address = address
@@ -193,12 +193,14 @@
         self.table: PeerTable = {}
 
     @property
-    def lost_after(self) -> float:
+    def lost_after_seconds(self) -> float:
         """Seconds of silence after which a peer counts as lost."""
         rhythm = self._rhythm
-        return silence_allowed(len(self.table), rhythm.fan_out, rhythm.period, rhythm.rounds)
+        return silence_allowed(
+            len(self.table), rhythm.fan_out, rhythm.period, rhythm.min_silent_rounds
+        )
 
-    def describe_self(self) -> HeartbeatRequest:
+    def build_heartbeat(self) -> HeartbeatRequest:
         """A heartbeat of this instance."""
         report = self._report()
         return HeartbeatRequest(
@@ -215,13 +217,13 @@
             ended_lives=report.ended_lives,
         )
 
-    def take(self, heard: HeartbeatRequest) -> None:
+    def apply_heartbeat(self, heard: HeartbeatRequest) -> None:
         """Take a heartbeat of a peer."""
         if heard.instance == self.identity.instance:
             return
         now = self._clock()
         known = self.table.get(heard.instance)
-        was_alive = known is not None and is_alive(known, now, self.lost_after)
+        was_alive = known is not None and is_alive(known, now, self.lost_after_seconds)
         peer = Peer(
             name=heard.instance,
             address=heard.address,
@@ -237,7 +239,7 @@
             logging.info("peer %s heard, incarnation %d", heard.instance, heard.incarnation)
         self._on_heard(heard)
 
-    def take_list(self, listed: Iterable[Peer]) -> None:
+    def apply_list(self, listed: Iterable[Peer]) -> None:
         """Take the platform's list."""
         others = (peer for peer in listed if peer.name != self.identity.instance)
         self.table = note_list(self.table, others)
@@ -249,11 +251,11 @@
         peer = self.table.get(instance)
         return peer.incarnation if peer is not None else 0
 
-    def alive(self) -> list[Peer]:
+    def live_peers(self) -> list[Peer]:
         """Peers heard from lately."""
-        return alive_peers(self.table, self._clock(), self.lost_after)
+        return alive_peers(self.table, self._clock(), self.lost_after_seconds)
 
-    def forget(self) -> None:
+    def expire(self) -> None:
         """Drop peers that are long gone."""
         self.table = forget_lost(self.table, self._clock(), FORGET_SECONDS)
 
@@ -268,25 +270,25 @@
 
     def __init__(
         self,
-        book: PeerBook,
+        registry: PeerRegistry,
         peers: PeerPort,
-        known: tuple[str, ...],
+        seed_addresses: tuple[str, ...],
         period: float,
         fan_out: int,
         rng: random.Random,
         seen_revision: Callable[[], int],
-        offer: Callable[[int, bytes], bool],
+        apply_configuration: Callable[[int, bytes], bool],
         metrics: Metrics,
     ) -> None:
         super().__init__()
         self.period = period
-        self._book = book
+        self._book = registry
         self._peers = peers
-        self._known = known
+        self._known = seed_addresses
         self._fan_out = fan_out
         self._random = rng
         self._seen_revision = seen_revision
-        self._offer = offer
+        self._offer = apply_configuration
         self._metrics = metrics
         self._fetching = False
         self._extra: set[asyncio.Task[None]] = set()
@@ -297,24 +299,26 @@
         addresses = self._book.addresses(self._known)
         chosen = self._random.sample(addresses, min(self._fan_out, len(addresses)))
         await asyncio.gather(*(self._beat(address) for address in chosen))
-        self._book.forget()
-        self._metrics.peers_alive.set({}, len(self._book.alive()))
+        self._book.expire()
+        self._metrics.peers_alive.set({}, len(self._book.live_peers()))
 
     async def _beat(self, address: str) -> None:
         try:
-            reply = await self._peers.heartbeat(address, self._book.describe_self(), self._timeout)
+            reply = await self._peers.heartbeat(
+                address, self._book.build_heartbeat(), self._timeout
+            )
         except PeerUnreachableError:
             return
-        self._book.take(reply.peer)
+        self._book.apply_heartbeat(reply.peer)
         if reply.peer.revision > self._seen_revision():
-            await self.fetch_from(address)
+            await self.fetch_newer(address)
 
-    def hear(self, heard: HeartbeatRequest) -> None:
+    def on_heartbeat(self, heard: HeartbeatRequest) -> None:
         """A peer's heartbeat came in: fetch what it has that is newer."""
         if heard.revision > self._seen_revision():
-            self._spawn(self.fetch_from(heard.address))
+            self._spawn(self.fetch_newer(heard.address))
 
-    def spread(self) -> None:
+    def run_extra_round(self) -> None:
         """Tell of news at once, in a round out of turn."""
         self._spawn(self.step())
 
@@ -329,14 +333,14 @@
         for task in list(self._extra):
             task.cancel()
 
-    async def fetch_from(self, address: str) -> None:
+    async def fetch_newer(self, address: str) -> None:
         """Fetch a peer's configuration, one fetch at a time."""
         if self._fetching:
             return
         self._fetching = True
         try:
             request = FetchConfigurationRequest(above_revision=self._seen_revision())
-            reply = await self._peers.fetch(address, request, self._timeout * 3)
+            reply = await self._peers.fetch_configuration(address, request, self._timeout * 3)
             if reply.revision > self._seen_revision():
                 self._offer(reply.revision, reply.document)
         except PeerUnreachableError:
@@ -351,7 +355,7 @@
     def __init__(
         self,
         platform: PlatformPort,
-        book: PeerBook,
+        book: PeerRegistry,
         mark_upstream: Callable[[str, bool], None],
         period: float,
     ) -> None:
@@ -372,13 +376,13 @@
             for item in listed.instances
             if item.kind == ENTRY_KIND
         ]
-        self._book.take_list(peers)
+        self._book.apply_list(peers)
         for item in listed.instances:
             if item.kind != ENTRY_KIND:
                 self._mark_upstream(item.name, item.state == LEAVING)
 
 
-def peer_of(book: PeerBook, instance: str, incarnation: int) -> Peer | None:
+def find_peer(book: PeerRegistry, instance: str, incarnation: int) -> Peer | None:
     """The peer that is this very incarnation of an instance, None when it is not known."""
     peer = book.table.get(instance)
     if peer is None or peer.incarnation != incarnation:
--- a/pondpin/entry.py
+++ b/pondpin/entry.py
@@ -12,32 +12,32 @@
 from pondpin.controllers.base import Controller
 from pondpin.controllers.configuration import ConfigurationController, ConfigurationStore
 from pondpin.controllers.housekeeping import HousekeepingController, QueueController
-from pondpin.controllers.keys import KeyController
+from pondpin.controllers.keys import TlsReloadController
 from pondpin.controllers.load import LoadController
 from pondpin.controllers.orders import OrderContext, OrderController
 from pondpin.controllers.orphans import OrphanController
 from pondpin.controllers.peers import (
-    GrpcPeers,
+    GrpcPeerClient,
     HeartbeatController,
+    HeartbeatSettings,
     InstanceListController,
-    PeerBook,
-    Rhythm,
-    SelfReport,
+    InstanceStatus,
+    PeerRegistry,
 )
 from pondpin.crash_watch import CrashWatch
 from pondpin.cuttable_client import CuttableClient
 from pondpin.decisions import DecisionLog
 from pondpin.engine_attempts import EngineAttempts
 from pondpin.engine_client import HttpEngines
-from pondpin.filters.complete import CompleteFilter
-from pondpin.filters.describe import DescribeFilter
-from pondpin.filters.identify import IdentifyFilter
+from pondpin.filters.complete import CompletionFilter
+from pondpin.filters.describe import RequestParsingFilter
+from pondpin.filters.identify import AuthenticationFilter
 from pondpin.filters.limit import LimitFilter
-from pondpin.filters.once import OnceFilter, SpendFilter, TokenIssuer
+from pondpin.filters.once import AtMostOnceFilter, TokenIssuer, TokenResultFilter
 from pondpin.filters.quarantine import QuarantineFilter
 from pondpin.filters.route import RouteFilter
 from pondpin.filters.rule import RuleFilter
-from pondpin.filters.serve import ServeFilter
+from pondpin.filters.serve import ServiceFilter
 from pondpin.fleet import Fleet
 from pondpin.forwarding import ForwardedCalls, PeerForwarder
 from pondpin.http_server import ServerLimits, WebServer
@@ -111,19 +111,19 @@
         self.signer = make_signer(settings.shared_key, settings.previous_shared_keys)
         self.store = ConfigurationStore(self.metrics, self._apply)
         peers = settings.peers
-        self.book = PeerBook(
+        self.book = PeerRegistry(
             self.identity,
             peers.listen.address,
             self._describe_self,
             self._hear,
             steady_now,
-            Rhythm(peers.heartbeat_seconds, peers.fan_out, peers.lost_after_heartbeats),
+            HeartbeatSettings(peers.heartbeat_seconds, peers.fan_out, peers.lost_after_heartbeats),
         )
-        self.shares = UsageShares(steady_now, lambda: 1 + len(self.book.alive()))
+        self.shares = UsageShares(steady_now, lambda: 1 + len(self.book.live_peers()))
 
     def _turn_of(self, identity: int) -> int:
         """This instance's place among the live ones in a request's order."""
-        peers = (peer.name for peer in self.book.alive())
+        peers = (peer.name for peer in self.book.live_peers())
         return turn_of(identity, self.identity.instance, peers)
 
     def _make_clients(self) -> None:
@@ -134,7 +134,7 @@
         self.platform = HttpPlatform(self.http, settings.platform.address)
         files = settings.peers.listen.tls
         self.peer_tls = PeerTls(files) if files is not None else None
-        self.peers = GrpcPeers(
+        self.peers = GrpcPeerClient(
             self.metrics, lambda: self.peer_tls.client if self.peer_tls is not None else None
         )
 
@@ -148,19 +148,19 @@
             reservations=self.reservations,
             clock=steady_now,
             random=self.random,
-            sharers=lambda: 1 + len(self.book.alive()),
+            sharers=lambda: 1 + len(self.book.live_peers()),
         )
 
     def _make_chain(self) -> None:
         timing = self.settings.timing
         self.issuer = TokenIssuer(self.identity, self.once, self.signer, wall_now)
-        self.identify = IdentifyFilter()
+        self.identify = AuthenticationFilter()
         self.crashes = CrashWatch(
             self.identity.instance,
             self.fleet,
             self.http.reach,
             self._turn_of,
-            lambda: self.heartbeats.spread(),
+            lambda: self.heartbeats.run_extra_round(),
             steady_now,
         )
         self.attempts = EngineAttempts(
@@ -172,7 +172,7 @@
             stall_floor=timing.stall_floor,
             call_timeout=CALL_SECONDS,
         )
-        complete = CompleteFilter(
+        complete = CompletionFilter(
             scheduler=self.scheduler,
             attempts=self.attempts,
             metrics=self.metrics,
@@ -180,17 +180,17 @@
             clock=steady_now,
             wall_clock=wall_now,
             rng=self.random,
-            crashes=self.crashes,
+            crash_monitor=self.crashes,
         )
-        serve = ServeFilter(self.services, self.fleet, self.metrics, steady_now, self.crashes)
+        serve = ServiceFilter(self.services, self.fleet, self.metrics, steady_now, self.crashes)
         forwarder = PeerForwarder(self.book, self.peers)
         inner = (
-            DescribeFilter(),
-            OnceFilter(self.issuer, forwarder, self.metrics, self.store.raise_floor),
+            RequestParsingFilter(),
+            AtMostOnceFilter(self.issuer, forwarder, self.metrics, self.store.raise_floor),
             RuleFilter(),
             QuarantineFilter(self.crashes, self.settings.shared_key),
             LimitFilter(steady_now, self.shares),
-            SpendFilter(self.once, self.metrics, steady_now),
+            TokenResultFilter(self.once, self.metrics, steady_now),
             RouteFilter(complete, serve),
         )
         self.callers = Callers(
@@ -241,7 +241,7 @@
             book=self.book,
             peers=self.peers,
             metrics=self.metrics,
-            platform_answers=lambda: self.watch.platform_answers,
+            platform_answers=lambda: self.watch.platform_reachable,
             open_calls=lambda: self.callers.open_calls,
             clock=steady_now,
         )
@@ -262,14 +262,16 @@
             self.random,
         )
         self.heartbeats = HeartbeatController(
-            book=self.book,
+            registry=self.book,
             peers=self.peers,
-            known=settings.peers.known,
+            seed_addresses=settings.peers.known,
             period=settings.peers.heartbeat_seconds,
             fan_out=settings.peers.fan_out,
             rng=self.random,
             seen_revision=lambda: self.store.seen_revision,
-            offer=lambda revision, document: self.store.offer(revision, document, "peer"),
+            apply_configuration=lambda revision, document: self.store.apply(
+                revision, document, "peer"
+            ),
             metrics=self.metrics,
         )
         self.controllers: tuple[Controller, ...] = (
@@ -328,7 +330,7 @@
         )
 
         if self.peer_tls is not None:
-            self.controllers += (KeyController(self.peer_tls),)
+            self.controllers += (TlsReloadController(self.peer_tls),)
 
     async def start(self) -> Endpoint:
         """Listen, hear from peers, then read the platform; returns the callers' endpoint."""
@@ -405,25 +407,25 @@
         """Follow a configuration that came into force."""
         self.fleet.apply(snapshot.configuration)
         self.scheduler.apply(snapshot.configuration.policy)
-        self.heartbeats.spread()
+        self.heartbeats.run_extra_round()
 
     def _live_instances(self) -> list[str]:
         """Peers that are alive and stay."""
-        return [peer.name for peer in self.book.alive() if peer.ready and not peer.draining]
+        return [peer.name for peer in self.book.live_peers() if peer.ready and not peer.draining]
 
     def _sharer(self) -> Sharer:
         """This instance's place among those that share the limits of upstreams."""
         own = self.settings.instance
-        names = sorted({own, *(peer.name for peer in self.book.alive())})
+        names = sorted({own, *(peer.name for peer in self.book.live_peers())})
         return Sharer(names.index(own), len(names))
 
-    def _describe_self(self) -> SelfReport:
+    def _describe_self(self) -> InstanceStatus:
         leaving = tuple(
             f"{state.name}/{state.leaving_incarnation}"
             for state in self.fleet.by_name.values()
             if state.leaving and state.leaving_incarnation >= 0
         )
-        return SelfReport(
+        return InstanceStatus(
             revision=self.store.revision,
             ready=self.ready,
             draining=self.draining,
@@ -435,7 +437,7 @@
     def _hear(self, heard: HeartbeatRequest) -> None:
         """Take what a peer's heartbeat says beside the peer itself."""
         self.store.raise_floor(heard.revision)
-        self.heartbeats.hear(heard)
+        self.heartbeats.on_heartbeat(heard)
         self.shares.hear(heard.instance, tuple(heard.usage))
         self.crashes.hear(heard.instance, heard.ended_lives)
         for mark in heard.leaving_upstreams:
--- a/pondpin/filters/complete.py
+++ b/pondpin/filters/complete.py
@@ -37,7 +37,7 @@
 BROKEN_OFF = (Failure.BROKEN, Failure.GAP, Failure.UPSTREAM_DOWN)
 
 
-class CompleteFilter:
+class CompletionFilter:
     """Runs completions on engines."""
 
     def __init__(
@@ -49,9 +49,9 @@
         clock: Clock,
         wall_clock: WallClock,
         rng: random.Random,
-        crashes: CrashWatch,
+        crash_monitor: CrashWatch,
     ) -> None:
-        self._crashes = crashes
+        self._crashes = crash_monitor
         self._scheduler = scheduler
         self._attempts = attempts
         self._metrics = metrics
--- a/pondpin/filters/describe.py
+++ b/pondpin/filters/describe.py
@@ -13,7 +13,7 @@
 from pondpin.prompts import BLOCK_TOKENS, count_tokens, hash_prefixes
 
 LABELS_HEADER = "pondpin-labels"
-ALLOWED_HEADER = "pondpin-allowed-seconds"
+ALLOWED_SECONDS_HEADER = "pondpin-allowed-seconds"
 TOKEN_HEADER = "pondpin-token"
 MAX_LABELS = 16
 DEFAULT_MAX_TOKENS = 256
@@ -80,7 +80,7 @@
     return labels
 
 
-def read_allowed(header: str | None) -> float | None:
+def parse_allowed_seconds(header: str | None) -> float | None:
     """Allowed seconds that the caller asks for, None when not said; raises PondpinError."""
     if header is None:
         return None
@@ -98,7 +98,7 @@
     return "".join(f"<{message.role}>{message.content}\n" for message in messages) + "<assistant>"
 
 
-class DescribeFilter:
+class RequestParsingFilter:
     """Fills in the prompt, the service and the labels of a call."""
 
     async def apply(self, call: Call, proceed: Proceed) -> Outcome:
@@ -107,7 +107,7 @@
         labels = read_labels(headers.get(LABELS_HEADER, ""))
         labels |= {f"account.{name}": value for name, value in call.the_account.labels.items()}
         labels["account"] = call.account_name
-        read_allowed(headers.get(ALLOWED_HEADER))
+        parse_allowed_seconds(headers.get(ALLOWED_SECONDS_HEADER))
         if call.kind is CallKind.SERVICE:
             labels |= {"service": call.service, "method": call.incoming.method}
             labels["path"] = call.incoming.path
--- a/pondpin/filters/identify.py
+++ b/pondpin/filters/identify.py
@@ -11,7 +11,7 @@
 SCHEME = "bearer"
 
 
-class IdentifyFilter:
+class AuthenticationFilter:
     """Refuses calls whose key belongs to no account."""
 
     def __init__(self) -> None:
--- a/pondpin/filters/limit.py
+++ b/pondpin/filters/limit.py
@@ -16,11 +16,11 @@
 class Shares(Protocol):
     """Says which part of an account's limits this instance may grant."""
 
-    def part(self, account: str, now: float) -> float:
+    def share(self, account: str, now: float) -> float:
         """A number from 0 to 1."""
         ...
 
-    def note(self, account: str, requests: int, tokens: int) -> None:
+    def record(self, account: str, requests: int, tokens: int) -> None:
         """Count usage."""
         ...
 
@@ -47,11 +47,11 @@
         now = self._clock()
         limits = call.the_account.limits
         state = self.state_by_account.setdefault(call.account_name, AccountState())
-        part = self._shares.part(call.account_name, now)
+        part = self._shares.share(call.account_name, now)
         tokens = call.prompt.tokens + call.prompt.max_tokens if call.prompt is not None else 0
         self._check_long(call, state, limits, part)
         self._take(state, limits, part, tokens, now)
-        self._shares.note(call.account_name, 1, tokens)
+        self._shares.record(call.account_name, 1, tokens)
         if not call.long:
             return await proceed(call)
         state.long_open += 1
--- a/pondpin/filters/once.py
+++ b/pondpin/filters/once.py
@@ -73,7 +73,7 @@
     ended: "asyncio.Future[None]"
 
 
-class OnceFilter:
+class AtMostOnceFilter:
     """Sends a token's call to its issuer, or answers a second try from what became of the first."""
 
     def __init__(
@@ -151,7 +151,7 @@
     return Outcome(Code.OK, Ran.RAN, answer, headers=headers)
 
 
-class SpendFilter:
+class TokenResultFilter:
     """Marks a token as spent just before its call can be sent, and keeps what became of it."""
 
     def __init__(self, table: OnceTable, metrics: InterfaceMetrics, clock: Clock) -> None:
--- a/pondpin/filters/rule.py
+++ b/pondpin/filters/rule.py
@@ -6,11 +6,11 @@
 from pondpin.codes import Code
 from pondpin.configuration import Configuration, LengthClass, Rule
 from pondpin.errors import PondpinError
-from pondpin.filters.describe import ALLOWED_HEADER, read_allowed
+from pondpin.filters.describe import ALLOWED_SECONDS_HEADER, parse_allowed_seconds
 from pondpin.selectors import Labels, parse_selector
 
 
-def find_class(configuration: Configuration, labels: Labels) -> LengthClass | None:
+def find_length_class(configuration: Configuration, labels: Labels) -> LengthClass | None:
     """The first length class whose selector matches."""
     for item in configuration.classes:
         if parse_selector(item.match).matches(labels):
@@ -32,7 +32,7 @@
     async def apply(self, call: Call, proceed: Proceed) -> Outcome:
         """See Filter."""
         configuration = call.snapshot.configuration
-        found = find_class(configuration, call.labels)
+        found = find_length_class(configuration, call.labels)
         length_class = found.name if found is not None else "none"
         labels = call.labels | {"class": length_class}
         call.decision.length_class = length_class
@@ -40,7 +40,7 @@
         if rule is None:
             raise PondpinError(Code.NO_RULE)
         call.decision.rule = rule.name
-        asked = read_allowed(call.incoming.headers.get(ALLOWED_HEADER))
+        asked = parse_allowed_seconds(call.incoming.headers.get(ALLOWED_SECONDS_HEADER))
         allowed = rule.allowed_seconds if asked is None else min(asked, rule.allowed_seconds)
         call.decision.allowed = allowed
         return await proceed(
--- a/pondpin/filters/serve.py
+++ b/pondpin/filters/serve.py
@@ -22,7 +22,7 @@
 REPEATABLE = "repeatable"
 
 
-class ServeFilter:
+class ServiceFilter:
     """Sends calls to plain services."""
 
     def __init__(
@@ -31,9 +31,9 @@
         fleet: Fleet,
         metrics: Metrics,
         clock: Clock,
-        crashes: CrashWatch,
+        crash_monitor: CrashWatch,
     ) -> None:
-        self._crashes = crashes
+        self._crashes = crash_monitor
         self._services = services
         self._fleet = fleet
         self._metrics = metrics
--- a/pondpin/forwarding.py
+++ b/pondpin/forwarding.py
@@ -8,14 +8,19 @@
 from pondpin.callers import SERVICE_PREFIX, Callers
 from pondpin.calls import Call, CallKind, Outcome, Proceed, WholeAnswer
 from pondpin.codes import Code, Ran
-from pondpin.controllers.peers import PeerBook, PeerPort, peer_of
+from pondpin.controllers.peers import PeerPort, PeerRegistry, find_peer
 from pondpin.errors import PeerUnreachableError, PondpinError
-from pondpin.filters.describe import ALLOWED_HEADER, LABELS_HEADER, TOKEN_HEADER, read_allowed
+from pondpin.filters.describe import (
+    ALLOWED_SECONDS_HEADER,
+    LABELS_HEADER,
+    TOKEN_HEADER,
+    parse_allowed_seconds,
+)
 from pondpin.http_reply import ErrorAnswer, Incoming, describe_error
 from pondpin.service_client import PASSED_HEADERS
 from pondpin.wire.peer_pb2 import ForwardReply, ForwardRequest, Header
 
-FORWARDED_HEADERS = (*PASSED_HEADERS, TOKEN_HEADER, ALLOWED_HEADER, LABELS_HEADER)
+FORWARDED_HEADERS = (*PASSED_HEADERS, TOKEN_HEADER, ALLOWED_SECONDS_HEADER, LABELS_HEADER)
 CONTENT_TYPE = "content-type"
 ISSUER_HEADER = "pondpin-issuer"
 DEFAULT_SECONDS = 60.0
@@ -26,17 +31,17 @@
 class PeerForwarder:
     """Forwarder over the peer protocol."""
 
-    def __init__(self, book: PeerBook, peers: PeerPort) -> None:
+    def __init__(self, book: PeerRegistry, peers: PeerPort) -> None:
         self._book = book
         self._peers = peers
 
     async def forward(self, call: Call, token: CallToken) -> Outcome:
         """See Forwarder."""
-        peer = peer_of(self._book, token.instance, token.incarnation)
+        peer = find_peer(self._book, token.instance, token.incarnation)
         if peer is None:
             # The issuer may have run the call before it went: nobody can say any more.
             raise self._gone(f"{token.instance} is not known here in that life")
-        allowed = read_allowed(call.incoming.headers.get(ALLOWED_HEADER))
+        allowed = parse_allowed_seconds(call.incoming.headers.get(ALLOWED_SECONDS_HEADER))
         seconds = DEFAULT_SECONDS if allowed is None else allowed
         request = ForwardRequest(
             token=call.token,
--- a/pondpin/operators.py
+++ b/pondpin/operators.py
@@ -13,7 +13,7 @@
 from pondpin.clocks import Clock
 from pondpin.codes import Code
 from pondpin.controllers.configuration import ConfigurationStore
-from pondpin.controllers.peers import PeerBook, PeerPort
+from pondpin.controllers.peers import PeerPort, PeerRegistry
 from pondpin.decisions import Decision, DecisionLog
 from pondpin.errors import PeerUnreachableError, PondpinError
 from pondpin.fleet import Fleet, UpstreamState
@@ -151,7 +151,7 @@
         scheduler: Scheduler,
         ledger: Ledger,
         decisions: DecisionLog,
-        book: PeerBook,
+        book: PeerRegistry,
         peers: PeerPort,
         metrics: Metrics,
         platform_answers: Callable[[], bool],
@@ -205,7 +205,7 @@
 
     def status(self) -> StatusAnswer:
         """What is in force here."""
-        refused = self._store.refused
+        refused = self._store.rejected
         return StatusAnswer(
             instance=self._identity.instance,
             incarnation=self._identity.incarnation,
@@ -214,8 +214,8 @@
             revision=revision_of(self._store.revision),
             floor=revision_of(self._store.floor),
             refused_revision=revision_of(refused.revision) if refused is not None else 0,
-            left_out_epoch=epoch_of(self._store.left_out),
-            left_out_revision=revision_of(self._store.left_out),
+            left_out_epoch=epoch_of(self._store.ignored_position),
+            left_out_revision=revision_of(self._store.ignored_position),
             refused_faults=refused.faults if refused is not None else "",
             ready=self._lifecycle.ready,
             draining=self._lifecycle.draining,
@@ -229,7 +229,7 @@
 
     def _peer_rows(self) -> tuple[PeerRow, ...]:
         now = self._clock()
-        alive = {peer.name for peer in self._book.alive()}
+        alive = {peer.name for peer in self._book.live_peers()}
         return tuple(
             PeerRow(
                 name=peer.name,
@@ -308,7 +308,7 @@
         )
         if request.request and own:
             return own
-        asked = self._book.alive()
+        asked = self._book.live_peers()
         if request.request:
             giver = request.request.partition(".")[0]
             asked = [peer for peer in asked if peer.name == giver]
--- a/pondpin/peer_server.py
+++ b/pondpin/peer_server.py
@@ -8,7 +8,7 @@
 from grpclib.server import Server, Stream
 
 from pondpin.controllers.configuration import ConfigurationStore
-from pondpin.controllers.peers import PeerBook
+from pondpin.controllers.peers import PeerRegistry
 from pondpin.decisions import DecisionLog
 from pondpin.wire.peer_grpc import PeerBase
 from pondpin.wire.peer_pb2 import (
@@ -51,7 +51,7 @@
 
     def __init__(
         self,
-        book: PeerBook,
+        book: PeerRegistry,
         store: ConfigurationStore,
         decisions: DecisionLog,
         run_forwarded: Callable[[ForwardRequest], Awaitable[ForwardReply]],
@@ -65,8 +65,8 @@
         """Hear a peer, and tell of oneself."""
         request = await stream.recv_message()
         assert request is not None, "a unary call has a message"
-        self._book.take(request)
-        await stream.send_message(HeartbeatReply(peer=self._book.describe_self()))
+        self._book.apply_heartbeat(request)
+        await stream.send_message(HeartbeatReply(peer=self._book.build_heartbeat()))
 
     async def FetchConfiguration(
         self, stream: Stream[FetchConfigurationRequest, FetchConfigurationReply]
--- a/pondpin/platform/orders.py
+++ b/pondpin/platform/orders.py
@@ -4,7 +4,7 @@
 
 from pondpin.http_client import HttpClient
 from pondpin.http_streams import CallFailedError
-from pondpin.platform.requests import telling
+from pondpin.platform.requests import head_observer
 from pondpin.relay.ports import HeadCallback, LeaseResponse
 
 HELD = 200
@@ -73,7 +73,7 @@
             headers,
             body,
             timeout,
-            on_head=telling(hear),
+            on_head=head_observer(hear),
         )
         if answer.status >= 500:
             raise CallFailedError(f"status {answer.status}", sent=True)
--- a/pondpin/platform/reports.py
+++ b/pondpin/platform/reports.py
@@ -4,7 +4,7 @@
 
 from pondpin.http_client import HttpClient
 from pondpin.http_streams import CallFailedError
-from pondpin.platform.requests import telling
+from pondpin.platform.requests import head_observer
 from pondpin.relay.model import EngineReport
 from pondpin.relay.ports import HeadCallback
 
@@ -34,7 +34,7 @@
             "GET",
             f"http://{host}:{port}{REPORT_PATH}",
             timeout=timeout,
-            on_head=telling(hear),
+            on_head=head_observer(hear),
         )
         if answer.status != OK:
             raise CallFailedError(f"status {answer.status}", sent=True)
@@ -59,6 +59,6 @@
             "GET",
             f"http://{host}:{port}{path}",
             timeout=timeout,
-            on_head=telling(hear),
+            on_head=head_observer(hear),
         )
         return answer.status == OK
--- a/pondpin/platform/requests.py
+++ b/pondpin/platform/requests.py
@@ -134,19 +134,19 @@
             signed=bool(_first(raw, SIGNATURE)),
             failed_endpoint=_read_endpoint(_first(raw, AT_FAULT)),
             upstream_id=_first(raw, INSTANCE).decode("latin-1"),
-            notice=notice_of(status, raw),
+            notice=response_notice(status, raw),
             headers=passed,
             unknown_headers=_unknown_words(raw),
         )
 
 
-def telling(hear: HeadCallback) -> Callable[[StreamStart], None]:
+def head_observer(hear: HeadCallback) -> Callable[[StreamStart], None]:
     """Tells what an answer to a check, a report or an order says of its worker."""
     read_head = PlatformDialect().read_head
     return lambda start: hear(read_head(start.status, start.raw_headers))
 
 
-def notice_of(status: int, headers: RawHeaders) -> Notice:
+def response_notice(status: int, headers: RawHeaders) -> Notice:
     """What any answer of a worker says of it, whatever was asked."""
     names = {key.lower() for key, _ in headers}
     if not names & {LEAVING, LIMIT, RETRY_AFTER}:
--- a/pondpin/platform/store.py
+++ b/pondpin/platform/store.py
@@ -20,10 +20,10 @@
 CONFIGURATION_KEY = "op/config"
 UPSTREAMS_PREFIX = "servers/"
 # A value of a megabyte over 1 Mbit/s; no link of a deployment is slower.
-LONGEST_READ_SECONDS = 12.0
+MAX_READ_SECONDS = 12.0
 NOT_FOUND = 404
 # Headers by which the store says something of itself begin with this.
-STORE_HEADERS = "store-"
+STORE_HEADER_PREFIX = "store-"
 # Rises by one with each restore of the store from an older copy.
 EPOCH_HEADER = "store-era"
 MOST_EPOCH = 2**63 - 1
@@ -123,7 +123,7 @@
     async def read_configuration(self, stall: float) -> ConfigurationRead:
         """The newest configuration; raises CallFailedError."""
         answer = await self._get(f"kv-key?tlsKey={CONFIGURATION_KEY}", stall)
-        epoch = read_head(answer.headers).epoch
+        epoch = parse_source_head(answer.headers).epoch
         if answer.status == NOT_FOUND:
             return ConfigurationRead(None, epoch)
         _check_status(answer.status)
@@ -136,7 +136,7 @@
         """What became of the configuration after a revision; raises CallFailedError."""
         query = f"pathPrefix={CONFIGURATION_KEY}&sinceRevision={since}&waitMs=0"
         answer = await self._get(f"kv-watch?{query}", stall)
-        epoch = read_head(answer.headers).epoch
+        epoch = parse_source_head(answer.headers).epoch
         if answer.status == HISTORY_GONE:
             return ConfigurationChange(None, None, epoch)
         _check_status(answer.status)
@@ -166,7 +166,7 @@
                 page = _decode_page(answer.body)
             except ValueError as error:
                 raise CallFailedError(f"no range: {error}", sent=True) from None
-            page_epoch = read_head(answer.headers).epoch
+            page_epoch = parse_source_head(answer.headers).epoch
             epoch = page_epoch if epoch is None else epoch
             if page_epoch != epoch:
                 raise EpochChangedError(epoch, page_epoch)
@@ -181,14 +181,14 @@
     async def _get(self, call: str, stall: float) -> Answer:
         url = f"{self._base}/{call}"
         return await self._http.call_while_moving(
-            "GET", url, stall, LONGEST_READ_SECONDS, self._receive_head
+            "GET", url, stall, MAX_READ_SECONDS, self._receive_head
         )
 
     def _receive_head(self, start: StreamStart) -> None:
-        self._on_head(read_head(start.headers))
+        self._on_head(parse_source_head(start.headers))
 
 
-def read_head(headers: Mapping[str, str]) -> SourceHead:
+def parse_source_head(headers: Mapping[str, str]) -> SourceHead:
     """What an answer of any status says of the store."""
     told = headers.get(EPOCH_HEADER)
     epoch = 0 if told is None else _read_epoch(told)
@@ -198,7 +198,7 @@
         unknown=tuple(
             (name, value)
             for name, value in headers.items()
-            if name.startswith(STORE_HEADERS) and name != EPOCH_HEADER
+            if name.startswith(STORE_HEADER_PREFIX) and name != EPOCH_HEADER
         ),
     )
 
--- a/pondpin/standins/local_fleet.py
+++ b/pondpin/standins/local_fleet.py
@@ -239,7 +239,7 @@
                 if (other.data_center == center) != (spec.data_center == center)
             }
             instance = self.entries_by_name[spec.name].instance
-            instance.peers.blocked = others
+            instance.peers.blocked_addresses = others
             for where, addresses in upstreams.items():
                 if (where == center) != (spec.data_center == center):
                     instance.http.blocked |= addresses
@@ -254,7 +254,7 @@
     def join_centers(self) -> None:
         """End all cuts."""
         for running in self.entries_by_name.values():
-            running.instance.peers.blocked = set()
+            running.instance.peers.blocked_addresses = set()
             running.instance.http.blocked.clear()
 
     async def kill_entry(self, name: str) -> None:
--- a/pondpin/tests/test_entry.py
+++ b/pondpin/tests/test_entry.py
@@ -250,7 +250,7 @@
         async def test() -> None:
             entries = self.fleet.entries_by_name.values()
             await self.fleet.publish(sample_document(rules="none"))
-            await wait_until(lambda: all(item.instance.store.refused for item in entries))
+            await wait_until(lambda: all(item.instance.store.rejected for item in entries))
             self.assertEqual(self.revisions(), {1})
             await self.fleet.publish(sample_document())
             await wait_until(lambda: self.revisions() == {3})
@@ -309,7 +309,7 @@
 
     def left_out(self) -> list[int]:
         entries = self.fleet.entries_by_name.values()
-        return [item.instance.store.left_out for item in entries]
+        return [item.instance.store.ignored_position for item in entries]
 
     def snapshots(self) -> list[Snapshot]:
         entries = self.fleet.entries_by_name.values()
--- a/pondpin/tests/test_interface_notices.py
+++ b/pondpin/tests/test_interface_notices.py
@@ -19,7 +19,7 @@
 from pondpin.codes import Code
 from pondpin.controllers.load import LoadController
 from pondpin.errors import PondpinError
-from pondpin.filters.serve import ServeFilter
+from pondpin.filters.serve import ServiceFilter
 from pondpin.fleet import Fleet, UpstreamState
 from pondpin.limit_turns import LimitTurns, Sharer
 from pondpin.notices import Notice
@@ -246,7 +246,7 @@
 
         run_async(poll())
         self.assertEqual(polled, [self.states[1].upstream.address])
-        serve = ServeFilter(nothing, self.fleet, nothing, self.scheduler.clock, nothing)
+        serve = ServiceFilter(nothing, self.fleet, nothing, self.scheduler.clock, nothing)
         with self.assertRaises(PondpinError) as caught:
             serve._choose(self.states, "e0", set())
         self.assertEqual(caught.exception.code, Code.UPSTREAMS_REST)
--- a/pondpin/tests/test_notices.py
+++ b/pondpin/tests/test_notices.py
@@ -9,7 +9,7 @@
 
 from pondpin.limits import LimitWord, counts
 from pondpin.notices import NOTHING, Notice, read_notice
-from pondpin.platform.requests import PlatformDialect, notice_of
+from pondpin.platform.requests import PlatformDialect, response_notice
 from pondpin.standing import (
     KEPT_LIVES,
     MOST_SPREAD_SECONDS,
@@ -71,11 +71,11 @@
 
     def test_leaving_is_one_word_in_any_answer(self) -> None:
         for status in (200, 206, 400, 421, 429, 500, 503):
-            self.assertTrue(notice_of(status, [(b"Server-Leaving", b"1")]).leaves)
+            self.assertTrue(response_notice(status, [(b"Server-Leaving", b"1")]).leaves)
         for value in (b"0", b"", b"yes", b"11"):
-            self.assertFalse(notice_of(200, [(b"Server-Leaving", value)]).leaves)
+            self.assertFalse(response_notice(200, [(b"Server-Leaving", value)]).leaves)
         self.assertTrue(
-            notice_of(
+            response_notice(
                 200, [(b"SERVER-LEAVING", b"0"), (b"x", b""), (b"server-leaving", b" 1 ")]
             ).leaves
         )
@@ -91,7 +91,9 @@
     """Limits for all instances together: what is one, and which of two counts."""
 
     def limit_of(self, *values: str) -> Notice:
-        return notice_of(200, [(b"Server-Limit", value.encode("latin-1")) for value in values])
+        return response_notice(
+            200, [(b"Server-Limit", value.encode("latin-1")) for value in values]
+        )
 
     def test_decimal_numbers(self) -> None:
         for value, limit in (("1", 1.0), ("0.25", 0.25), (".5", 0.5), ("2.", 2.0), (" 7 ", 7.0)):
@@ -111,9 +113,9 @@
 
     def test_any_answer_may_name_one_beside_its_other_words(self) -> None:
         for status in (200, 206, 400, 421, 429, 500, 503):
-            self.assertEqual(notice_of(status, [(b"SERVER-LIMIT", b"2")]).limit, 2.0)
+            self.assertEqual(response_notice(status, [(b"SERVER-LIMIT", b"2")]).limit, 2.0)
         raw = [(b"server-leaving", b"1"), (b"retry-after", b"3"), (b"server-limit", b"2")]
-        self.assertEqual(notice_of(503, raw), Notice(True, 3.0, limit=2.0))
+        self.assertEqual(response_notice(503, raw), Notice(True, 3.0, limit=2.0))
 
     def test_words_that_nobody_reads_are_kept_for_the_log(self) -> None:
         raw = [(b"Server-Mood", b"low"), (b"Server", b"x"), (b"server-limit", b"2")]
--- a/pondpin/tests/test_orphans.py
+++ b/pondpin/tests/test_orphans.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pondpin.controllers.orphans import HolderView, find_orphan
+from pondpin.controllers.orphans import HolderView, orphan_cause
 from pondpin.engine_protocol import HeldWork
 from pondpin.standins.faults import Faults
 from pondpin.tests.support import FleetCase, question, wait_until
@@ -21,25 +21,25 @@
 
 class FindOrphanTest(unittest.TestCase):
     def test_past_its_deadline_and_the_grace(self) -> None:
-        holder = HolderView(own=False, newest_incarnation=5)
-        self.assertEqual(find_orphan(held(), holder, False, 104.0, GRACE), "")
-        self.assertTrue(find_orphan(held(), holder, False, 106.0, GRACE))
+        holder = HolderView(is_self=False, newest_incarnation=5)
+        self.assertEqual(orphan_cause(held(), holder, False, 104.0, GRACE), "")
+        self.assertTrue(orphan_cause(held(), holder, False, 106.0, GRACE))
 
     def test_a_silent_holder_is_no_reason(self) -> None:
-        self.assertEqual(find_orphan(held(), HolderView(False, 0), False, 50.0, GRACE), "")
+        self.assertEqual(orphan_cause(held(), HolderView(False, 0), False, 50.0, GRACE), "")
 
     def test_a_newer_life_of_the_holder_is(self) -> None:
-        self.assertTrue(find_orphan(held(), HolderView(False, 6), False, 50.0, GRACE))
+        self.assertTrue(orphan_cause(held(), HolderView(False, 6), False, 50.0, GRACE))
 
     def test_own_work_that_is_not_known(self) -> None:
-        self.assertTrue(find_orphan(held(), HolderView(True, 5), False, 50.0, GRACE))
-        self.assertEqual(find_orphan(held(), HolderView(True, 5), True, 50.0, GRACE), "")
+        self.assertTrue(orphan_cause(held(), HolderView(True, 5), False, 50.0, GRACE))
+        self.assertEqual(orphan_cause(held(), HolderView(True, 5), True, 50.0, GRACE), "")
 
     @given(newest=st.integers(0, 5), now=st.floats(0, 100), known=st.booleans())
     def test_living_work_of_others_is_left_alone(
         self, newest: int, now: float, known: bool
     ) -> None:
-        self.assertEqual(find_orphan(held(), HolderView(False, newest), known, now, GRACE), "")
+        self.assertEqual(orphan_cause(held(), HolderView(False, newest), known, now, GRACE), "")
 
 
 class ReturnedTest(FleetCase):
--- a/pondpin/tests/test_peers.py
+++ b/pondpin/tests/test_peers.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from pondpin.controllers.peers import GrpcPeers
+from pondpin.controllers.peers import GrpcPeerClient
 from pondpin.errors import PeerUnreachableError
 from pondpin.metrics import Metrics
 from pondpin.tests.support import run_async
@@ -22,10 +22,10 @@
         async def work() -> None:
             server = await asyncio.start_server(accept, "127.0.0.1", 0)
             host, port = server.sockets[0].getsockname()
-            peers = GrpcPeers(Metrics("a", "north"), lambda: None)
+            peers = GrpcPeerClient(Metrics("a", "north"), lambda: None)
             for _ in range(2):
                 with self.assertRaises(PeerUnreachableError):
-                    await peers.fetch(
+                    await peers.fetch_configuration(
                         f"{host}:{port}", FetchConfigurationRequest(), PATIENCE_SECONDS
                     )
             peers.close()
--- a/pondpin/tests/test_relay_documents.py
+++ b/pondpin/tests/test_relay_documents.py
@@ -13,7 +13,7 @@
 from pondpin.errors import PeerUnreachableError
 from pondpin.http_streams import CallFailedError
 from pondpin.platform.documents import PlatformDecoder
-from pondpin.platform.store import LONGEST_READ_SECONDS, PlatformStore
+from pondpin.platform.store import MAX_READ_SECONDS, PlatformStore
 from pondpin.relay.log import EventLog
 from pondpin.relay.published.delta import Kept, apply_delta, encode_delta, split_segments
 from pondpin.relay.published.document_fetch import BUSY_RETRY_SECONDS, DocumentFetcher
@@ -117,7 +117,7 @@
             source = PlatformStore(SimulatedHttp(store, Link(TURN_BYTES / 0.9)), "store:1")
             with self.assertRaises(CallFailedError):
                 await source.read_configuration(READ_STALL_SECONDS)
-            self.assertLessEqual(loop.time() - began, LONGEST_READ_SECONDS + READ_STALL_SECONDS)
+            self.assertLessEqual(loop.time() - began, MAX_READ_SECONDS + READ_STALL_SECONDS)
 
         run_virtual(work())
 
--- a/pondpin/tests/test_store_epochs.py
+++ b/pondpin/tests/test_store_epochs.py
@@ -6,7 +6,7 @@
 
 from pondpin.http_client import Answer, HttpClient
 from pondpin.http_streams import CallFailedError, StreamStart
-from pondpin.platform.store import PlatformStore, read_head
+from pondpin.platform.store import PlatformStore, parse_source_head
 from pondpin.relay.ports import ConfigurationChange, ConfigurationRead, EpochChangedError
 from pondpin.relay.ports import SourceHead as Head
 from pondpin.relay.published.documents import PublishedItem
@@ -27,7 +27,7 @@
 
 class HeaderTest(unittest.TestCase):
     def epoch(self, text: str) -> Head:
-        return read_head({HEADER: text})
+        return parse_source_head({HEADER: text})
 
     def test_an_epoch_is_a_number_of_one_machine_word(self) -> None:
         for text, epoch in (
@@ -45,7 +45,7 @@
         self.assertEqual(self.epoch(""), Head(0, odd_epoch="an empty value"))
 
     def test_a_store_without_epochs_is_the_lowest(self) -> None:
-        self.assertEqual(read_head({"content-type": "application/json"}), Head())
+        self.assertEqual(parse_source_head({"content-type": "application/json"}), Head())
 
 
 async def start_platform() -> LocalPlatform:
--- a/pondpin/tests/test_store_fields.py
+++ b/pondpin/tests/test_store_fields.py
@@ -8,11 +8,11 @@
 from pondpin.platform.documents import WireServer
 from pondpin.platform.store import (
     EPOCH_HEADER,
-    STORE_HEADERS,
+    STORE_HEADER_PREFIX,
     WireEvents,
     WireItem,
     WireRange,
-    read_head,
+    parse_source_head,
 )
 from pondpin.relay.ports import SourceHead
 
@@ -66,11 +66,11 @@
 class WordsTest(unittest.TestCase):
     def test_headers(self) -> None:
         for name, fate in HEADERS.items():
-            head = read_head({name: "7"})
+            head = parse_source_head({name: "7"})
             with self.subTest(name):
                 self.assertEqual(head.epoch == 7, fate == DECODED)
                 self.assertEqual(bool(head.unknown), fate == LOGGED)
-        self.assertTrue(EPOCH_HEADER.startswith(STORE_HEADERS))
+        self.assertTrue(EPOCH_HEADER.startswith(STORE_HEADER_PREFIX))
         self.assertEqual(
             {field.name for field in dataclasses.fields(SourceHead)},
             {"epoch", "odd_epoch", "unknown"},
--- a/pondpin/tests/test_tls.py
+++ b/pondpin/tests/test_tls.py
@@ -10,7 +10,7 @@
 import unittest
 from pathlib import Path
 
-from pondpin.controllers.peers import GrpcPeers
+from pondpin.controllers.peers import GrpcPeerClient
 from pondpin.errors import PeerUnreachableError
 from pondpin.http_client import HttpClient
 from pondpin.http_streams import CallFailedError
@@ -48,7 +48,7 @@
         """A caller that trusts the authority is answered; peers hear each other."""
         entries = self.fleet.entries_by_name
         await wait_until(
-            lambda: all(len(item.instance.book.alive()) == 1 for item in entries.values())
+            lambda: all(len(item.instance.book.live_peers()) == 1 for item in entries.values())
         )
         trusting = ssl.create_default_context(cafile=str(path / "authority.pem"))
         host, port = self.callers["a1"].split(":")
@@ -77,7 +77,7 @@
         # A peer without a certificate of the authority is not heard.
         stranger = ssl.create_default_context(cafile=str(path / "authority.pem"))
         stranger.set_alpn_protocols(["h2"])
-        peers = GrpcPeers(Metrics("x", "y"), lambda: stranger)
+        peers = GrpcPeerClient(Metrics("x", "y"), lambda: stranger)
         with self.assertRaises(PeerUnreachableError):
             await peers.heartbeat(
                 self.fleet.peer_addresses["a1"], HeartbeatRequest(instance="x"), 2.0
--- a/pondpin/tools/ctl.py
+++ b/pondpin/tools/ctl.py
@@ -13,7 +13,7 @@
 
 from pondpin.configuration import Configuration, configuration_schema, read_configuration
 from pondpin.decisions import Decision, tell
-from pondpin.filters.rule import find_class, find_rule
+from pondpin.filters.rule import find_length_class, find_rule
 from pondpin.fleet import label_upstream
 from pondpin.reading import read_or_exit
 from pondpin.runtime import USAGE_STATUS, Ready, run_command
@@ -100,7 +100,7 @@
 def _show_rule(configuration: Configuration, request: str) -> None:
     pairs = (part.partition("=") for part in request.split(","))
     labels = {name.strip(): value.strip() for name, _, value in pairs}
-    found = find_class(configuration, labels)
+    found = find_length_class(configuration, labels)
     labels["class"] = found.name if found is not None else "none"
     rule = find_rule(configuration, labels)
     print(f"class {labels['class']}; rule {rule.name if rule is not None else 'none: refused'}")
--- a/pondpin/tools/measure_peers.py
+++ b/pondpin/tools/measure_peers.py
@@ -16,11 +16,11 @@
 
 from pondpin.controllers.configuration import ConfigurationStore
 from pondpin.controllers.peers import (
-    GrpcPeers,
+    GrpcPeerClient,
     HeartbeatController,
-    PeerBook,
-    Rhythm,
-    SelfReport,
+    HeartbeatSettings,
+    InstanceStatus,
+    PeerRegistry,
 )
 from pondpin.decisions import DecisionLog
 from pondpin.identity import Identity
@@ -58,37 +58,39 @@
         name = f"entry-{number}"
         metrics = Metrics(name, "dc")
         self.identity = Identity(name, time.time_ns(), f"dc-{number % 6}")
-        self.store = ConfigurationStore(metrics, lambda _: self.beats.spread())
+        self.store = ConfigurationStore(metrics, lambda _: self.beats.run_extra_round())
         self.address = address
-        self.book = PeerBook(
+        self.book = PeerRegistry(
             self.identity,
             address,
             self._report,
-            lambda heard: self.beats.hear(heard),
+            lambda heard: self.beats.on_heartbeat(heard),
             steady_now,
-            Rhythm(1.0, fan_out, 4),
+            HeartbeatSettings(1.0, fan_out, 4),
         )
-        self.peers = GrpcPeers(metrics, lambda: None)
+        self.peers = GrpcPeerClient(metrics, lambda: None)
         self.beats = HeartbeatController(
-            book=self.book,
+            registry=self.book,
             peers=self.peers,
-            known=known,
+            seed_addresses=known,
             period=1.0,
             fan_out=fan_out,
             rng=random.Random(number),
             seen_revision=lambda: self.store.seen_revision,
-            offer=lambda revision, document: self.store.offer(revision, document, "peer"),
+            apply_configuration=lambda revision, document: self.store.apply(
+                revision, document, "peer"
+            ),
             metrics=metrics,
         )
         served = PeerServer(self.book, self.store, DecisionLog(10), _no_forward)
         self.server = PeerListener(served)
 
-    def _report(self) -> SelfReport:
+    def _report(self) -> InstanceStatus:
         usage = tuple(
             AccountUsage(account=f"account-{number:03}", requests=number * 37)
             for number in range(ACCOUNTS_TOLD)
         )
-        return SelfReport(self.store.revision, True, False, (), usage)
+        return InstanceStatus(self.store.revision, True, False, (), usage)
 
     async def start(self) -> None:
         """Listen and begin heartbeats."""
@@ -176,7 +178,7 @@
     """Seconds until a revision that some read from the platform is in force on all."""
     started = steady_now()
     for reader in readers:
-        reader.store.offer(revision, document, "platform")
+        reader.store.apply(revision, document, "platform")
     while any(instance.store.revision < revision for instance in instances):
         if steady_now() - started > FORCE_LIMIT_SECONDS:
             return float("inf")
--- a/pondpin/usage_shares.py
+++ b/pondpin/usage_shares.py
@@ -37,7 +37,7 @@
     own_by_account: dict[str, Rate] = field(default_factory=dict)
     peers_by_account: dict[str, dict[str, Rate]] = field(default_factory=dict)
 
-    def note(self, account: str, requests: int, tokens: int) -> None:
+    def record(self, account: str, requests: int, tokens: int) -> None:
         """Count own usage."""
         self.own_by_account.setdefault(account, Rate()).add(requests, self.clock())
 
@@ -46,7 +46,7 @@
         rates = self.peers_by_account.setdefault(account, {})
         rates[peer] = Rate(amount, self.clock())
 
-    def part(self, account: str, now: float) -> float:
+    def share(self, account: str, now: float) -> float:
         """The part of the limit, from 0 to 1."""
         own = self.own_by_account.get(account)
         own_amount = own.at(now) if own is not None else 0.0
