--- a/pondpin/callers.py
+++ b/pondpin/callers.py
@@ -16,8 +16,8 @@
 from pondpin.errors import PondpinError
 from pondpin.filters.identify import AuthenticationFilter
 from pondpin.filters.once import NEXT_TOKEN_HEADER, TokenIssuer
-from pondpin.http_reply import Incoming, Reply
-from pondpin.http_server import REPEAT_HEADERS, WebServer
+from pondpin.http_reply import IncomingRequest, Reply
+from pondpin.http_server import IDEMPOTENCY_HEADERS, WebServer
 from pondpin.identity import Identity
 from pondpin.interface_metrics import InterfaceMetrics
 from pondpin.invariants import INVARIANTS
@@ -78,7 +78,7 @@
     metrics: InterfaceMetrics
     decisions: DecisionLog
     snapshot: Callable[[], Snapshot | None]
-    resume: Callable[[Incoming, Reply, Snapshot, str], Awaitable[None]]
+    resume: Callable[[IncomingRequest, Reply, Snapshot, str], Awaitable[None]]
     clock: Clock
     wall_clock: WallClock
 
@@ -96,13 +96,13 @@
         server.route("/v1/tokens", self._tokens)
         server.route(SERVICE_PREFIX, self._service)
 
-    async def _completions(self, incoming: Incoming, reply: Reply) -> None:
+    async def _completions(self, incoming: IncomingRequest, reply: Reply) -> None:
         await self._complete(incoming, reply, CallKind.COMPLETION)
 
-    async def _chat(self, incoming: Incoming, reply: Reply) -> None:
+    async def _chat(self, incoming: IncomingRequest, reply: Reply) -> None:
         await self._complete(incoming, reply, CallKind.CHAT)
 
-    async def _complete(self, incoming: Incoming, reply: Reply, kind: CallKind) -> None:
+    async def _complete(self, incoming: IncomingRequest, reply: Reply, kind: CallKind) -> None:
         if "last-event-id" in incoming.headers:
             await self._resume(incoming, reply)
             return
@@ -110,7 +110,7 @@
             raise PondpinError(Code.METHOD_NOT_ALLOWED)
         await self._handle(self._make_call(incoming, reply, kind), stop_when_gone=True)
 
-    async def _service(self, incoming: Incoming, reply: Reply) -> None:
+    async def _service(self, incoming: IncomingRequest, reply: Reply) -> None:
         service = incoming.path.removeprefix(SERVICE_PREFIX).partition("/")[0]
         call = replace(self._make_call(incoming, reply, CallKind.SERVICE), service=service)
         # A call that may have been sent is not given up with its caller: it ends, and is kept.
@@ -123,11 +123,11 @@
             raise PondpinError(Code.NOT_READY, retry_after=1.0)
         return snapshot
 
-    def make_forwarded(self, incoming: Incoming) -> Call:
+    def make_forwarded(self, incoming: IncomingRequest) -> Call:
         """A call that a peer forwarded: its answer goes back to that peer."""
         return self._make_call(incoming, None, CallKind.SERVICE)
 
-    def _make_call(self, incoming: Incoming, reply: Reply | None, kind: CallKind) -> Call:
+    def _make_call(self, incoming: IncomingRequest, reply: Reply | None, kind: CallKind) -> Call:
         snapshot = self.the_snapshot()
         identifier = self.ids.next()
         decision = Decision(
@@ -147,7 +147,7 @@
         self.serving.add(task)
         task.add_done_callback(self.serving.discard)
         if stop_when_gone:
-            call.the_reply.on_gone = lambda: _cancel(task)
+            call.the_reply.on_disconnect = lambda: _cancel(task)
         try:
             outcome = await task
         except asyncio.CancelledError:
@@ -182,8 +182,8 @@
 
     def _unsettle(self, call: Call, error: PondpinError) -> None:
         """Without the issuer's word, nothing is known of earlier tries of the same call."""
-        repeats = any(name in call.incoming.headers for name in REPEAT_HEADERS)
-        if repeats and not error.settled and error.ran is Ran.NOT_RUN:
+        repeats = any(name in call.incoming.headers for name in IDEMPOTENCY_HEADERS)
+        if repeats and not error.covers_earlier_attempts and error.ran is Ran.NOT_RUN:
             error.ran = Ran.UNKNOWN
 
     def _send(self, call: Call, outcome: Outcome) -> None:
@@ -222,11 +222,11 @@
             self.metrics.ttft.observe(labels, outcome.first_token)
         if outcome.tokens >= GAP_MIN_TOKENS and outcome.last_token and outcome.first_token:
             span = outcome.last_token - outcome.first_token
-            self.metrics.gap.observe(labels, span / (outcome.tokens - 1))
+            self.metrics.token_gap.observe(labels, span / (outcome.tokens - 1))
         if outcome.tokens:
             self.metrics.tokens.add(labels, outcome.tokens)
 
-    async def _tokens(self, incoming: Incoming, reply: Reply) -> None:
+    async def _tokens(self, incoming: IncomingRequest, reply: Reply) -> None:
         if incoming.method != "POST":
             raise PondpinError(Code.METHOD_NOT_ALLOWED)
         snapshot = self.the_snapshot()
@@ -237,7 +237,7 @@
         tokens = [self.issuer.issue(account, snapshot.revision) for _ in range(int(text))]
         reply.send_json(TokenBatch(tuple(tokens)))
 
-    async def _resume(self, incoming: Incoming, reply: Reply) -> None:
+    async def _resume(self, incoming: IncomingRequest, reply: Reply) -> None:
         snapshot = self.the_snapshot()
         account = self._account(incoming, snapshot)
         # A planned stop waits for resumed streams too.
@@ -247,7 +247,7 @@
         finally:
             self.open_calls -= 1
 
-    def _account(self, incoming: Incoming, snapshot: Snapshot) -> str:
+    def _account(self, incoming: IncomingRequest, snapshot: Snapshot) -> str:
         header = incoming.headers.get("authorization", "")
         account = self.identify.find_account(snapshot, header)
         if account is None:
--- a/pondpin/calls.py
+++ b/pondpin/calls.py
@@ -8,7 +8,7 @@
 from pondpin.codes import Code, Ran
 from pondpin.configuration import Account, Configuration, Rule
 from pondpin.decisions import Decision
-from pondpin.http_reply import Incoming, Reply
+from pondpin.http_reply import IncomingRequest, Reply
 
 
 class CallKind(enum.Enum):
@@ -50,7 +50,7 @@
 
     id: str
     kind: CallKind
-    incoming: Incoming
+    incoming: IncomingRequest
     reply: Reply | None
     snapshot: Snapshot
     decision: Decision
--- a/pondpin/controllers/housekeeping.py
+++ b/pondpin/controllers/housekeeping.py
@@ -70,7 +70,7 @@
         metrics.queued.set({}, self._scheduler.queue.size)
         metrics.held_blocks.set({}, self._ledger.held_blocks)
         for name, count in INVARIANTS.breaches_by_name.items():
-            metrics.breaches.set({"invariant": name}, count)
+            metrics.invariant_breaches.set({"invariant": name}, count)
         for cause, count in self._watchdog.dropped.items():
             metrics.frames_dropped.add({"cause": cause}, count - self._told_drops[cause])
         self._told_drops = Counter(self._watchdog.dropped)
--- a/pondpin/controllers/load.py
+++ b/pondpin/controllers/load.py
@@ -12,10 +12,10 @@
 from pondpin.controllers.base import Controller
 from pondpin.engine_client import EnginePort
 from pondpin.fleet import Fleet, UpstreamState
-from pondpin.health import note_failure, note_success
+from pondpin.health import record_failure, record_success
 from pondpin.http_streams import CallFailedError
 from pondpin.service_client import ServicePort
-from pondpin.standing import Bar
+from pondpin.standing import BlockReason
 from pondpin.state_header import LEAVING
 
 
@@ -55,7 +55,7 @@
         """
         now = self._clock()
         for state in list(self._fleet.by_name.values()):
-            if state.name not in self._busy and state.bar(now) is not Bar.RESTS:
+            if state.name not in self._busy and state.bar(now) is not BlockReason.RESTING:
                 self._busy.add(state.name)
                 self._spawn(self._poll(state))
         # Jitter, so that instances started together don't poll together for ever.
@@ -79,9 +79,9 @@
                 await self._poll_engine(state)
             else:
                 await self._poll_service(state)
-            state.health = note_success(state.health, self._clock())
+            state.health = record_success(state.health, self._clock())
         except CallFailedError as error:
-            state.health = note_failure(state.health, self._clock(), certain=not error.sent)
+            state.health = record_failure(state.health, self._clock(), certain=not error.sent)
         finally:
             state.polled = True
             self._busy.discard(state.name)
--- a/pondpin/crash_watch.py
+++ b/pondpin/crash_watch.py
@@ -15,19 +15,19 @@
 from pondpin.codes import Code
 from pondpin.errors import PondpinError
 from pondpin.fleet import Fleet, UpstreamState
-from pondpin.http_client import Reach
+from pondpin.http_client import ConnectOutcome
 from pondpin.network import parse_endpoint
 from pondpin.quarantine import (
-    Judgement,
+    Assessment,
+    AssessmentContext,
     LifeEnd,
     NamedEnd,
     Quarantine,
-    Surroundings,
-    Turn,
+    TrialRank,
     Verdict,
 )
 from pondpin.quarantine_messages import decode_ends, encode_ends
-from pondpin.request_identity import show
+from pondpin.request_identity import format_identity
 
 # A call that broke off is remembered until the next life of its upstream has been polled.
 BROKEN_SECONDS = 10.0
@@ -56,15 +56,15 @@
         return xxhash.xxh64_intdigest(f"{self.state.name}@{self.incarnation}".encode())
 
 
-class CrashWatch:
+class CrashMonitor:
     """The quarantine of an instance with callers of its own."""
 
     def __init__(
         self,
         instance: str,
         fleet: Fleet,
-        reach: Callable[[str, int], Awaitable[Reach]],
-        turn: Turn,
+        reach: Callable[[str, int], Awaitable[ConnectOutcome]],
+        turn: TrialRank,
         spread: Callable[[], None],
         clock: Clock,
     ) -> None:
@@ -79,15 +79,17 @@
         # Ends that say nothing, and when that was found.
         self._cleared: list[tuple[float, NamedEnd]] = []
 
-    def judge(self, identity: int) -> Judgement:
+    def assess(self, identity: int) -> Assessment:
         """The verdict on a request now."""
-        around = Surroundings(lives=len(self._fleet.by_name), turn=self._turn(identity))
-        return self.quarantine.judge(identity, self._clock(), around)
+        around = AssessmentContext(
+            upstream_count=len(self._fleet.by_name), trial_rank=self._turn(identity)
+        )
+        return self.quarantine.assess(identity, self._clock(), around)
 
-    def admit(self, identity: int) -> Judgement:
+    def admit(self, identity: int) -> Assessment:
         """Let a request through to placement, or raise PondpinError."""
         now = self._clock()
-        judgement = self.judge(identity)
+        judgement = self.assess(identity)
         told = f"{len(judgement.ends)} upstreams ended while it ran there"
         if judgement.verdict is Verdict.QUARANTINED:
             left = max(RETRY_SECONDS, judgement.until - now)
@@ -97,24 +99,24 @@
             raise PondpinError(Code.SUSPECTED, told, retry_after=RETRY_SECONDS)
         return judgement
 
-    def begin(self, identity: int) -> None:
+    def begin_run(self, identity: int) -> None:
         """A suspect is about to run."""
         self.quarantine.begin_run(identity, self._instance, 0, self._clock())
 
-    def end(self, identity: int) -> None:
+    def end_run(self, identity: int) -> None:
         """Its run is over."""
         self.quarantine.end_run(identity, self._instance)
 
-    def may_try_again(self, identity: int) -> bool:
+    def allows_retry(self, identity: int) -> bool:
         """Whether another upstream may follow one that broke off."""
-        judgement = self.judge(identity)
+        judgement = self.assess(identity)
         if judgement.verdict is Verdict.FREE:
             return True
-        return judgement.verdict is Verdict.SUSPECTED and judgement.may_try_again
+        return judgement.verdict is Verdict.SUSPECTED and judgement.allows_retry
 
-    def note_good(self, identity: int) -> None:
+    def record_success(self, identity: int) -> None:
         """A request ended whole."""
-        self._tell_cleared(self.quarantine.note_good(identity, self._clock()))
+        self._tell_cleared(self.quarantine.record_success(identity, self._clock()))
 
     def _tell_cleared(self, ends: Iterable[NamedEnd]) -> None:
         now = self._clock()
@@ -123,7 +125,7 @@
             self._cleared += found
             self._spread()
 
-    async def look(self, identity: int, states: Iterable[UpstreamState]) -> None:
+    async def check_liveness(self, identity: int, states: Iterable[UpstreamState]) -> None:
         """A call broke off: find out whether an upstream's life has ended."""
         now = self._clock()
         staying = [state for state in states if not state.leaving]
@@ -135,7 +137,7 @@
 
     async def _look(self, broken: Broken) -> None:
         place = parse_endpoint(broken.state.upstream.address)
-        if await self._reach(place.host, place.port) is Reach.REFUSED:
+        if await self._reach(place.host, place.port) is ConnectOutcome.REFUSED:
             self._note_end(broken)
 
     def _note_end(self, broken: Broken) -> None:
@@ -143,19 +145,19 @@
             return
         self._broken.remove(broken)
         end = LifeEnd(broken.life, broken.at, source=self._instance)
-        if not self.quarantine.note_end(broken.identity, end):
+        if not self.quarantine.record_end(broken.identity, end):
             return
-        judgement = self.judge(broken.identity)
+        judgement = self.assess(broken.identity)
         logging.info(
             "upstream %s ended under request %s: %s, %d ends",
             broken.state.name,
-            show(broken.identity),
+            format_identity(broken.identity),
             judgement.verdict.value,
             len(judgement.ends),
         )
         self._spread()
 
-    def step(self) -> None:
+    def refresh(self) -> None:
         """See which upstreams live anew, and forget what lapsed."""
         now = self._clock()
         for broken in list(self._broken):
@@ -164,16 +166,16 @@
         self._broken = [item for item in self._broken if now - item.at < BROKEN_SECONDS]
         self.quarantine.prune(now)
 
-    def tell(self) -> bytes:
+    def heartbeat_payload(self) -> bytes:
         """What a heartbeat carries."""
         now = self._clock()
         self._cleared = [item for item in self._cleared if now - item[0] < CLEARED_SECONDS]
         cleared = [end for _, end in self._cleared[-MOST_TOLD:]]
-        return encode_ends((*self.quarantine.most_telling(MOST_TOLD), *cleared), now)
+        return encode_ends((*self.quarantine.top_ends(MOST_TOLD), *cleared), now)
 
-    def hear(self, source: str, data: bytes) -> None:
+    def apply_payload(self, source: str, data: bytes) -> None:
         """Take what a peer's heartbeat carried."""
         now = self._clock()
         ends = decode_ends(data, source, now)
         # What the peer believes and is void here.
-        self._tell_cleared(self.quarantine.take(ends, now))
+        self._tell_cleared(self.quarantine.merge_ends(ends, now))
--- a/pondpin/engine_attempts.py
+++ b/pondpin/engine_attempts.py
@@ -11,10 +11,10 @@
 from pondpin.engine_client import EnginePort, StreamRef
 from pondpin.engine_protocol import StreamRequest
 from pondpin.frames import FrameGate
-from pondpin.http_streams import CallFailedError, StreamStart
+from pondpin.http_streams import CallFailedError, StreamedResponse
 from pondpin.identity import Identity
 from pondpin.scheduler import Grant
-from pondpin.state_header import says_leaving
+from pondpin.state_header import announces_leaving
 from pondpin.stream_attempt import AttemptResult, StreamAttempt, Watchdog
 
 OK = 200
@@ -72,12 +72,12 @@
             if failure is not None:
                 return AttemptResult(failure)
             if call.the_prompt.stream:
-                call.the_reply.follow(attempt)
+                call.the_reply.attach_source(attempt)
             try:
                 return await attempt.done
             finally:
                 if call.the_prompt.stream:
-                    call.the_reply.unfollow()
+                    call.the_reply.detach_source()
         except asyncio.CancelledError:
             self.cancel(grant)
             raise
@@ -114,19 +114,19 @@
             return Failure.BROKEN if error.sent else Failure.NOT_SENT
         if start is None:
             return Failure.STALLED
-        if says_leaving(start):
+        if announces_leaving(start):
             grant.lead.mark_leaving()
         if start.status != OK:
             start.discard()
             if start.status == CONFLICT:
                 return Failure.BROKEN
-            return Failure.LEAVING if says_leaving(start) else Failure.REFUSED
+            return Failure.LEAVING if announces_leaving(start) else Failure.REFUSED
         attempt.stream = start.deliver(attempt)
         return None
 
     async def _until_stalled(
-        self, opening: "asyncio.Future[StreamStart]", attempt: StreamAttempt
-    ) -> StreamStart | None:
+        self, opening: "asyncio.Future[StreamedResponse]", attempt: StreamAttempt
+    ) -> StreamedResponse | None:
         """Wait for the headers, or until the watchdog calls the attempt stalled."""
         try:
             waited: set[asyncio.Future[Any]] = {opening, attempt.done}
@@ -141,7 +141,7 @@
 
     def _send(
         self, call: Call, grant: Grant, progress: Progress, resume: bool
-    ) -> "asyncio.Future[StreamStart]":
+    ) -> "asyncio.Future[StreamedResponse]":
         address = grant.lead.upstream.address
         if resume:
             ref = StreamRef(address, call.id, progress.attempt)
@@ -190,8 +190,8 @@
             return
 
 
-def _drop(opening: "asyncio.Future[StreamStart]") -> None:
+def _drop(opening: "asyncio.Future[StreamedResponse]") -> None:
     """Stop opening a stream; one that is open already is closed."""
     if opening.done() and not opening.cancelled() and opening.exception() is None:
-        opening.result().drop()
+        opening.result().close_unread()
     opening.cancel()
--- a/pondpin/engine_client.py
+++ b/pondpin/engine_client.py
@@ -14,9 +14,9 @@
     StreamFrame,
     StreamRequest,
 )
-from pondpin.http_client import Answer, HttpClient
-from pondpin.http_streams import CallFailedError, StreamStart
-from pondpin.state_header import HearAddress, ignore, notice_of
+from pondpin.http_client import HttpClient, HttpResponse
+from pondpin.http_streams import CallFailedError, StreamedResponse
+from pondpin.state_header import AddressNoticeHandler, ignore_notice, response_notice
 
 STREAMS_PATH = "/v1/streams"
 EVENT_START = b"data: "
@@ -38,11 +38,11 @@
 class EnginePort(Protocol):
     """What pondpin asks of model engines; all calls raise CallFailedError."""
 
-    async def submit(self, address: str, request: StreamRequest) -> StreamStart:
+    async def submit(self, address: str, request: StreamRequest) -> StreamedResponse:
         """Start a stream."""
         ...
 
-    async def resume(self, ref: StreamRef, offset: int) -> StreamStart:
+    async def resume(self, ref: StreamRef, offset: int) -> StreamedResponse:
         """Go on with a stream from an offset."""
         ...
 
@@ -78,7 +78,7 @@
 class HttpEngines:
     """EnginePort over HTTP."""
 
-    def __init__(self, client: HttpClient, hear: HearAddress = ignore) -> None:
+    def __init__(self, client: HttpClient, hear: AddressNoticeHandler = ignore_notice) -> None:
         self._client = client
         self._hear = hear
 
@@ -89,7 +89,7 @@
         path: str,
         message: msgspec.Struct | None = None,
         timeout: float = 5.0,
-    ) -> Answer:
+    ) -> HttpResponse:
         """Make a call; what its answer says of the engine is heard first."""
         headers = None if message is None else JSON_HEADERS
         body = b"" if message is None else msgspec.json.encode(message)
@@ -98,17 +98,17 @@
             method, url, headers, body, timeout, on_head=lambda start: self._note(address, start)
         )
 
-    def _note(self, address: str, start: StreamStart) -> None:
-        self._hear(address, notice_of(start))
+    def _note(self, address: str, start: StreamedResponse) -> None:
+        self._hear(address, response_notice(start))
 
-    async def submit(self, address: str, request: StreamRequest) -> StreamStart:
+    async def submit(self, address: str, request: StreamRequest) -> StreamedResponse:
         """See EnginePort."""
         url = f"http://{address}{STREAMS_PATH}"
         start = await self._client.open("POST", url, JSON_HEADERS, msgspec.json.encode(request))
         self._note(address, start)
         return start
 
-    async def resume(self, ref: StreamRef, offset: int) -> StreamStart:
+    async def resume(self, ref: StreamRef, offset: int) -> StreamedResponse:
         """See EnginePort."""
         url = f"http://{ref.address}{_stream_path(ref)}?offset={offset}"
         start = await self._client.open("GET", url)
--- a/pondpin/entry.py
+++ b/pondpin/entry.py
@@ -24,8 +24,8 @@
     InstanceStatus,
     PeerRegistry,
 )
-from pondpin.crash_watch import CrashWatch
-from pondpin.cuttable_client import CuttableClient
+from pondpin.crash_watch import CrashMonitor
+from pondpin.cuttable_client import PartitionableClient
 from pondpin.decisions import DecisionLog
 from pondpin.engine_attempts import EngineAttempts
 from pondpin.engine_client import HttpEngines
@@ -44,7 +44,7 @@
 from pondpin.identity import Identity
 from pondpin.interface_metrics import InterfaceMetrics
 from pondpin.ledger import Ledger
-from pondpin.limit_turns import Sharer
+from pondpin.limit_turns import InstancePosition
 from pondpin.network import Endpoint, parse_endpoint
 from pondpin.notices import Notice
 from pondpin.once import OnceTable
@@ -52,7 +52,7 @@
 from pondpin.orders import revision_of_fence
 from pondpin.peer_server import PeerListener, PeerServer
 from pondpin.platform_client import HttpPlatform
-from pondpin.quarantine import turn_of
+from pondpin.quarantine import compute_trial_rank
 from pondpin.reservations import Reservations
 from pondpin.resumes import Resumer
 from pondpin.runtime import steady_now, wall_now
@@ -124,11 +124,11 @@
     def _turn_of(self, identity: int) -> int:
         """This instance's place among the live ones in a request's order."""
         peers = (peer.name for peer in self.book.live_peers())
-        return turn_of(identity, self.identity.instance, peers)
+        return compute_trial_rank(identity, self.identity.instance, peers)
 
     def _make_clients(self) -> None:
         settings = self.settings
-        self.http = CuttableClient(self.reactor, settings.timing.connect_timeout)
+        self.http = PartitionableClient(self.reactor, settings.timing.connect_timeout)
         self.engines = HttpEngines(self.http, self._hear_upstream)
         self.services = HttpServices(self.http, self._hear_upstream)
         self.platform = HttpPlatform(self.http, settings.platform.address)
@@ -155,10 +155,10 @@
         timing = self.settings.timing
         self.issuer = TokenIssuer(self.identity, self.once, self.signer, wall_now)
         self.identify = AuthenticationFilter()
-        self.crashes = CrashWatch(
+        self.crashes = CrashMonitor(
             self.identity.instance,
             self.fleet,
-            self.http.reach,
+            self.http.try_connect,
             self._turn_of,
             lambda: self.heartbeats.run_extra_round(),
             steady_now,
@@ -324,7 +324,7 @@
                 self.ledger,
                 self.metrics,
                 lambda: self.callers.open_calls,
-                self.crashes.step,
+                self.crashes.refresh,
                 steady_now,
             ),
         )
@@ -382,9 +382,9 @@
             await controller.stop()
         await self.caller_server.close()
         await self.operator_server.close()
-        self.caller_server.cut()
+        self.caller_server.abort_connections()
         self.peer_server.cut()
-        self.http.cut()
+        self.http.partition()
         for task in (*self.callers.serving, *self.caller_server.tasks, *self.scheduler.tasks):
             task.cancel()
         self.peers.close()
@@ -413,11 +413,11 @@
         """Peers that are alive and stay."""
         return [peer.name for peer in self.book.live_peers() if peer.ready and not peer.draining]
 
-    def _sharer(self) -> Sharer:
+    def _sharer(self) -> InstancePosition:
         """This instance's place among those that share the limits of upstreams."""
         own = self.settings.instance
         names = sorted({own, *(peer.name for peer in self.book.live_peers())})
-        return Sharer(names.index(own), len(names))
+        return InstancePosition(names.index(own), len(names))
 
     def _describe_self(self) -> InstanceStatus:
         leaving = tuple(
@@ -431,7 +431,7 @@
             draining=self.draining,
             leaving_upstreams=leaving,
             usage=self.shares.tell(),
-            ended_lives=self.crashes.tell(),
+            ended_lives=self.crashes.heartbeat_payload(),
         )
 
     def _hear(self, heard: HeartbeatRequest) -> None:
@@ -439,7 +439,7 @@
         self.store.raise_floor(heard.revision)
         self.heartbeats.on_heartbeat(heard)
         self.shares.hear(heard.instance, tuple(heard.usage))
-        self.crashes.hear(heard.instance, heard.ended_lives)
+        self.crashes.apply_payload(heard.instance, heard.ended_lives)
         for mark in heard.leaving_upstreams:
             name, _, incarnation = mark.partition("/")
             state = self.fleet.by_name.get(name)
@@ -452,15 +452,15 @@
         if state is None:
             return
         if notice.rest:
-            self.metrics.rests_asked.inc({})
+            self.metrics.rests_requested.inc({})
         logging.info(
             "upstream %s says: leaves %s, rest %.2f s %s, limit %s %s",
             state.name,
-            notice.leaves,
+            notice.is_leaving,
             notice.rest,
-            notice.odd[:80],
+            notice.invalid_rest[:80],
             notice.limit,
-            notice.odd_limit[:80],
+            notice.invalid_limit[:80],
         )
 
     def _mark_upstream(self, name: str, leaving: bool) -> None:
--- a/pondpin/errors.py
+++ b/pondpin/errors.py
@@ -22,7 +22,7 @@
         self.detail = detail
         self.ran = ran
         self.retry_after = retry_after
-        self.settled = False
+        self.covers_earlier_attempts = False
 
     @property
     def status(self) -> int:
--- a/pondpin/filters/complete.py
+++ b/pondpin/filters/complete.py
@@ -16,18 +16,18 @@
 from pondpin.calls import Call, Outcome, Proceed
 from pondpin.clocks import Clock, WallClock
 from pondpin.codes import Code, Ran
-from pondpin.crash_watch import CrashWatch
+from pondpin.crash_watch import CrashMonitor
 from pondpin.cursors import Cursor, sign_cursor
 from pondpin.decisions import CANDIDATES_KEPT, AttemptFailed, Candidate, Placed, Waited
 from pondpin.engine_attempts import EngineAttempts, Progress
 from pondpin.errors import PondpinError
 from pondpin.fair_queue import Flow
-from pondpin.health import note_failure, note_success
+from pondpin.health import record_failure, record_success
 from pondpin.interface_metrics import InterfaceMetrics
-from pondpin.retry_budget import note_first_attempt, spend_retry
+from pondpin.retry_budget import record_first_attempt, spend_retry
 from pondpin.scheduler import Grant, Scheduler, Ticket
 from pondpin.signing import Signer
-from pondpin.standing import Bar
+from pondpin.standing import BlockReason
 from pondpin.stream_attempt import AttemptResult
 
 WORTH_NOTING_SECONDS = 0.005
@@ -49,7 +49,7 @@
         clock: Clock,
         wall_clock: WallClock,
         rng: random.Random,
-        crash_monitor: CrashWatch,
+        crash_monitor: CrashMonitor,
     ) -> None:
         self._crashes = crash_monitor
         self._scheduler = scheduler
@@ -175,15 +175,15 @@
         policy = call.snapshot.configuration.policy
         now = self._clock()
         if progress.attempt == 0:
-            state.budget = note_first_attempt(state.budget, policy.retry_ratio, now)
+            state.budget = record_first_attempt(state.budget, policy.retry_ratio, now)
         progress.resumed = 0
         self._metrics.attempts.inc({"upstream": state.name, "result": "started"})
         result = await self._attempts.receive(call, grant, progress, resume=False)
         if result.failure is None:
-            state.health = note_success(state.health, self._clock())
+            state.health = record_success(state.health, self._clock())
             return result
         if result.failure in BROKEN_OFF:
-            await self._crashes.look(call.identity, grant.engines)
+            await self._crashes.check_liveness(call.identity, grant.engines)
         following = self._decide(call, grant, progress, result.failure)
         if following.step is Step.RESUME:
             progress.resumed = 1
@@ -198,7 +198,9 @@
     def _is_barred(self, grant: Grant) -> bool:
         """Whether an engine of a grant leaves or has asked for rest since it was chosen."""
         now = self._clock()
-        return any(state.bar(now) in (Bar.LEAVES, Bar.RESTS) for state in grant.engines)
+        return any(
+            state.bar(now) in (BlockReason.LEAVING, BlockReason.RESTING) for state in grant.engines
+        )
 
     def _decide(self, call: Call, grant: Grant, progress: Progress, failure: Failure) -> NextStep:
         policy = call.snapshot.configuration.policy
@@ -222,9 +224,9 @@
         now = self._clock()
         state = grant.lead
         if failure not in HARMLESS_ANSWERS:
-            state.health = note_failure(state.health, now, failure is Failure.NOT_SENT)
+            state.health = record_failure(state.health, now, failure is Failure.NOT_SENT)
         following = self._decide(call, grant, progress, failure)
-        if not self._crashes.may_try_again(call.identity):
+        if not self._crashes.allows_retry(call.identity):
             following = NextStep(Step.GIVE_UP, Code.UPSTREAM_LOST)
         self._note_failure(call, grant, failure, following.step.value)
         harmless = failure is Failure.NOT_SENT or failure in HARMLESS_ANSWERS
--- a/pondpin/filters/once.py
+++ b/pondpin/filters/once.py
@@ -104,7 +104,7 @@
         try:
             return await self._run_own(call, token.sequence, proceed)
         except PondpinError as error:
-            error.settled = True
+            error.covers_earlier_attempts = True
             if error.ran is Ran.NOT_RUN:
                 self._close(token.sequence)
             raise
--- a/pondpin/filters/quarantine.py
+++ b/pondpin/filters/quarantine.py
@@ -4,17 +4,17 @@
 
 from pondpin.calls import Call, Outcome, Proceed
 from pondpin.codes import Code
-from pondpin.crash_watch import CrashWatch
+from pondpin.crash_watch import CrashMonitor
 from pondpin.quarantine import Verdict
-from pondpin.request_identity import identify, make_key
+from pondpin.request_identity import derive_key, identify
 
 
 class QuarantineFilter:
     """Refuses what is quarantined, and runs a suspect once at a time."""
 
-    def __init__(self, watch: CrashWatch, shared_key: str) -> None:
+    def __init__(self, watch: CrashMonitor, shared_key: str) -> None:
         self._watch = watch
-        self._key = make_key(shared_key)
+        self._key = derive_key(shared_key)
 
     async def apply(self, call: Call, proceed: Proceed) -> Outcome:
         """See Filter."""
@@ -24,12 +24,12 @@
         judgement = self._watch.admit(identity)
         is_suspect = judgement.verdict is Verdict.SUSPECTED
         if is_suspect:
-            self._watch.begin(identity)
+            self._watch.begin_run(identity)
         try:
             outcome = await proceed(replace(call, identity=identity))
         finally:
             if is_suspect:
-                self._watch.end(identity)
+                self._watch.end_run(identity)
         if outcome.code is Code.OK:
-            self._watch.note_good(identity)
+            self._watch.record_success(identity)
         return outcome
--- a/pondpin/filters/serve.py
+++ b/pondpin/filters/serve.py
@@ -5,14 +5,14 @@
 from pondpin.calls import Call, Outcome, Proceed, WholeAnswer
 from pondpin.clocks import Clock
 from pondpin.codes import Code, Ran
-from pondpin.crash_watch import CrashWatch
+from pondpin.crash_watch import CrashMonitor
 from pondpin.decisions import AttemptFailed, Placed
 from pondpin.errors import PondpinError
 from pondpin.fleet import Fleet, UpstreamState
-from pondpin.health import note_failure, note_success
+from pondpin.health import record_failure, record_success
 from pondpin.http_streams import CallFailedError
 from pondpin.metrics import Metrics
-from pondpin.retry_budget import note_first_attempt, spend_retry
+from pondpin.retry_budget import record_first_attempt, spend_retry
 from pondpin.service_choice import ServiceView, choose_service, pin_upstream
 from pondpin.service_client import IDEMPOTENCY_HEADER, ServiceCall, ServicePort
 
@@ -31,7 +31,7 @@
         fleet: Fleet,
         metrics: Metrics,
         clock: Clock,
-        crash_monitor: CrashWatch,
+        crash_monitor: CrashMonitor,
     ) -> None:
         self._crashes = crash_monitor
         self._services = services
@@ -63,7 +63,7 @@
             state = self._choose(allowed, pinned, tried)
             if attempt == 0:
                 now = self._clock()
-                state.budget = note_first_attempt(state.budget, policy.retry_ratio, now)
+                state.budget = record_first_attempt(state.budget, policy.retry_ratio, now)
             try:
                 answer = await self._send(call, state, key)
             except CallFailedError as error:
@@ -71,8 +71,8 @@
                 attempt += 1
                 may_have_run = may_have_run or error.sent
                 if error.sent:
-                    await self._crashes.look(call.identity, (state,))
-                more = attempt < policy.attempts and self._crashes.may_try_again(call.identity)
+                    await self._crashes.check_liveness(call.identity, (state,))
+                more = attempt < policy.attempts and self._crashes.allows_retry(call.identity)
                 self._check_retry(call, state, error, pinned, more, may_have_run)
                 continue
             return self._answered(call, answer, pinned)
@@ -131,7 +131,7 @@
             answer = await self._services.send(state.upstream.address, sent, left, fresh)
         finally:
             state.open_calls -= 1
-        state.health = note_success(state.health, self._clock())
+        state.health = record_success(state.health, self._clock())
         return answer
 
     def _check_retry(
@@ -145,7 +145,7 @@
     ) -> None:
         """Return when another attempt is harmless and the budget has it, else raise."""
         now = self._clock()
-        state.health = note_failure(state.health, now, certain=not error.sent)
+        state.health = record_failure(state.health, now, certain=not error.sent)
         self._metrics.attempts.inc({"upstream": state.name, "result": str(error)})
         harmless = not error.sent or call.the_rule.repeatable or bool(pinned)
         ran = Ran.UNKNOWN if may_have_run else Ran.NOT_RUN
--- a/pondpin/fleet.py
+++ b/pondpin/fleet.py
@@ -11,15 +11,15 @@
 from pondpin.cost_model import CostModel, Counters
 from pondpin.engine_protocol import LoadReport
 from pondpin.errors import PondpinError
-from pondpin.health import Health, usable
+from pondpin.health import Health, usable_names
 from pondpin.ledger import Hold
-from pondpin.limit_turns import ALONE, LimitTurns, Sharer
+from pondpin.limit_turns import SINGLE_INSTANCE, InstancePosition, LimitSlots
 from pondpin.notices import Notice
 from pondpin.placement import EngineSize, EngineView
 from pondpin.prefix_index import PrefixIndex
 from pondpin.retry_budget import RetryBudget
 from pondpin.selectors import Labels, parse_selector
-from pondpin.standing import Bar, Rest, Standing, nobody_left
+from pondpin.standing import Availability, BlockReason, Rest, find_unavailability
 
 OTHER_CENTER_SECONDS = 0.0015
 RETURNS_KEPT = 512
@@ -54,8 +54,8 @@
     labels: dict[str, str]
     health: Health = field(default_factory=Health)
     budget: RetryBudget = field(default_factory=RetryBudget)
-    standing: Standing = field(default_factory=Standing)
-    turns: LimitTurns | None = None
+    standing: Availability = field(default_factory=Availability)
+    turns: LimitSlots | None = None
     report: LoadReport | None = None
     heard_at: float = 0.0
     clock_offset: float | None = None
@@ -80,41 +80,43 @@
         """Requests and calls of this instance there."""
         return self.open_calls + len(self.work_by_key)
 
-    def bar(self, now: float) -> Bar:
+    def bar(self, now: float) -> BlockReason:
         """Why nothing new may be sent there by its own word, or another's that it leaves."""
-        return Bar.LEAVES if self.leaving else self.standing.bar(now, self.open_here)
+        return (
+            BlockReason.LEAVING if self.leaving else self.standing.block_reason(now, self.open_here)
+        )
 
     def hear(self, notice: Notice, now: float, draw: float) -> bool:
         """Take what an answer says of it; True when it says anything new."""
-        if notice.leaves:
+        if notice.is_leaving:
             self.mark_leaving()
         is_new_limit = self._hear_limit(notice, now)
-        return self.standing.hear(notice, "its answer", now, draw) or is_new_limit
+        return self.standing.apply_notice(notice, "its answer", now, draw) or is_new_limit
 
     def _hear_limit(self, notice: Notice, now: float) -> bool:
         """Take a limit, or that an answer names none any more; an odd one says neither."""
         known = self.turns
         if notice.limit is None:
-            if known is None or notice.odd_limit:
+            if known is None or notice.invalid_limit:
                 return False
             # It returns bit by bit, as from a rest.
             self.turns, self.standing.rest = None, Rest(now, now, now)
-            self.standing.is_blank = False
+            self.standing.is_empty = False
             return True
         if known is not None and known.limit == notice.limit:
             return False
         last = -math.inf if known is None else known.last
-        self.turns = LimitTurns(notice.limit, now, last)
+        self.turns = LimitSlots(notice.limit, now, last)
         return True
 
-    def has_turn(self, sharer: Sharer, now: float) -> bool:
+    def has_turn(self, sharer: InstancePosition, now: float) -> bool:
         """Whether this instance may send there now, by a limit that it named."""
-        return self.turns is None or self.turns.begin(sharer, now) is not None
+        return self.turns is None or self.turns.current_slot(sharer, now) is not None
 
-    def take_turn(self, sharer: Sharer, now: float) -> None:
+    def take_turn(self, sharer: InstancePosition, now: float) -> None:
         """A request is sent there."""
         if self.turns is not None:
-            self.turns.take(sharer, now)
+            self.turns.use_slot(sharer, now)
 
     def has_adapter(self, name: str) -> bool:
         """Whether the engine says that it has loaded an adapter."""
@@ -174,7 +176,7 @@
             if self.leaving_incarnation == 0:
                 self.leaving_incarnation = incarnation
         else:
-            self.standing, self.turns = Standing(), None
+            self.standing, self.turns = Availability(), None
         self._begin_life(incarnation)
 
     def _begin_life(self, incarnation: int) -> None:
@@ -278,7 +280,7 @@
     by_name: dict[str, UpstreamState] = field(default_factory=dict)
     rng: random.Random = field(default_factory=random.Random)
     # This instance's place among those that share the limits of upstreams.
-    sharer: Callable[[], Sharer] = lambda: ALONE
+    sharer: Callable[[], InstancePosition] = lambda: SINGLE_INSTANCE
     _selected: dict[tuple[str, str], list[str]] = field(default_factory=dict)
 
     def apply(self, configuration: Configuration) -> None:
@@ -315,7 +317,7 @@
         """Take what an answer from an address says of the upstream there; returns it when that is
         new.
         """
-        says = notice.leaves or notice.rest or notice.odd or notice.limit is not None
+        says = notice.is_leaving or notice.rest or notice.invalid_rest or notice.limit is not None
         if not says and all(state.turns is None for state in self.by_name.values()):
             return None
         for state in self.by_name.values():
@@ -328,15 +330,15 @@
         limited = [state.turns for state in states if state.turns and not state.bar(now)]
         if limited:
             sharer = self.sharer()
-            wait = min(turns.next_in(sharer, now) for turns in limited)
+            wait = min(turns.seconds_to_next(sharer, now) for turns in limited)
             retry_after = min(LONGEST_WAIT_SECONDS, wait) + self.rng.random()
             return PondpinError(Code.UPSTREAMS_LIMITED, retry_after=retry_after)
         known = [state.standing for state in states if not state.listed_leaving]
-        why = nobody_left(known, now)
-        if why is None or why.bar is Bar.LEAVES:
+        why = find_unavailability(known, now)
+        if why is None or why.reason is BlockReason.LEAVING:
             code = Code.NO_UPSTREAM if why is None else Code.UPSTREAMS_LEAVE
             return PondpinError(code, "none is in service", retry_after=1.0)
-        wait = why.back_at - now
+        wait = why.resume_at - now
         return PondpinError(Code.UPSTREAMS_REST, retry_after=wait + self.rng.random())
 
     def in_service(self, states: list[UpstreamState], now: float) -> list[UpstreamState]:
@@ -350,7 +352,7 @@
             if not state.bar(now) and state.has_turn(sharer, now)
         }
         health = {name: state.health for name, state in staying.items()}
-        return [staying[name] for name in usable(list(staying), health, now)]
+        return [staying[name] for name in usable_names(list(staying), health, now)]
 
     def views(self, states: list[UpstreamState], now: float) -> list[EngineView]:
         """Views of the engines that have reported and are not loading."""
--- a/pondpin/forwarding.py
+++ b/pondpin/forwarding.py
@@ -16,7 +16,7 @@
     TOKEN_HEADER,
     parse_allowed_seconds,
 )
-from pondpin.http_reply import ErrorAnswer, Incoming, describe_error
+from pondpin.http_reply import ErrorAnswer, IncomingRequest, describe_error
 from pondpin.service_client import PASSED_HEADERS
 from pondpin.wire.peer_pb2 import ForwardReply, ForwardRequest, Header
 
@@ -64,7 +64,7 @@
 
     def _gone(self, detail: str) -> PondpinError:
         error = PondpinError(Code.ISSUER_GONE, detail, Ran.UNKNOWN, retry_after=2.0)
-        error.settled = True
+        error.covers_earlier_attempts = True
         return error
 
     def _read(self, call: Call, reply: ForwardReply) -> Outcome:
@@ -74,7 +74,7 @@
             error = PondpinError(
                 Code(document.code), document.message, Ran(document.ran), document.retry_after
             )
-            error.settled = True
+            error.covers_earlier_attempts = True
             raise error
         content_type = headers.pop(CONTENT_TYPE, JSON)
         answer = WholeAnswer(reply.status, content_type, reply.body)
@@ -114,7 +114,7 @@
         account = snapshot.configuration.accounts.get(request.account)
         if account is None:
             raise PondpinError(Code.UNKNOWN_KEY, "the account is not known at the issuer")
-        incoming = Incoming(
+        incoming = IncomingRequest(
             method=request.method,
             path=request.path,
             query={},
--- a/pondpin/health.py
+++ b/pondpin/health.py
@@ -5,7 +5,7 @@
 
 FAILURES_TO_EJECT = 3
 FIRST_EJECTION_SECONDS = 1.0
-LONGEST_EJECTION_SECONDS = 30.0
+MAX_EJECTION_SECONDS = 30.0
 MAX_EJECTED_SHARE = 0.5
 
 
@@ -22,7 +22,7 @@
         return now < self.ejected_until
 
 
-def note_success(health: Health, now: float) -> Health:
+def record_success(health: Health, now: float) -> Health:
     """A call or poll succeeded: failures are forgotten, and past ejections halve."""
     if health.failures == 0 and health.ejections == 0:
         return health
@@ -31,16 +31,16 @@
     return Health(0, health.ejections // 2, 0.0)
 
 
-def note_failure(health: Health, now: float, certain: bool = False) -> Health:
+def record_failure(health: Health, now: float, certain: bool = False) -> Health:
     """A call or poll failed; certain means that the upstream refused the connection."""
     failures = health.failures + (FAILURES_TO_EJECT if certain else 1)
     if failures < FAILURES_TO_EJECT or health.is_ejected(now):
         return replace(health, failures=failures)
-    seconds = min(LONGEST_EJECTION_SECONDS, FIRST_EJECTION_SECONDS * 2**health.ejections)
+    seconds = min(MAX_EJECTION_SECONDS, FIRST_EJECTION_SECONDS * 2**health.ejections)
     return Health(0, health.ejections + 1, now + seconds)
 
 
-def usable(names: Sequence[str], health_by_name: dict[str, Health], now: float) -> list[str]:
+def usable_names(names: Sequence[str], health_by_name: dict[str, Health], now: float) -> list[str]:
     """The names that may get work: when over half are ejected, ejection is ignored.
 
     So many failing at once points to the network or to this instance, not to them.
--- a/pondpin/http_client.py
+++ b/pondpin/http_client.py
@@ -19,8 +19,8 @@
 from twisted.web.iweb import UNKNOWN_LENGTH, IAgentEndpointFactory, IBodyProducer
 from zope.interface import implementer
 
-from pondpin.http_connections import CheckedConnections
-from pondpin.http_streams import CallFailedError, StreamStart, WithheldError, drop_if_answered
+from pondpin.http_connections import CheckedConnectionPool
+from pondpin.http_streams import CallFailedError, StreamedResponse, WithheldError, close_if_answered
 
 # Idle connections are closed after this many seconds unless the other side says less.
 IDLE_SECONDS = 30.0
@@ -32,12 +32,12 @@
 )
 
 
-class Reach(enum.Enum):
+class ConnectOutcome(enum.Enum):
     """What became of an attempt to connect."""
 
-    LISTENS = "listens"
+    CONNECTED = "listens"
     REFUSED = "refused"
-    SILENT = "silent"
+    UNREACHABLE = "silent"
 
 
 class _KnockFactory(Factory):
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class HttpResponse:
     """A whole answer; header names are lower case, repeated headers are joined by commas."""
 
     status: int
@@ -104,9 +104,9 @@
 class _ExactAgent(Agent):
     """Sends requests whose target and headers are passed on as they are."""
 
-    _pool: CheckedConnections
+    _pool: CheckedConnectionPool
 
-    def request_exact(self, call: "ExactCall", endpoint: Any, why_not: Callable[[], str]) -> Any:
+    def request_exact(self, call: "RawRequest", endpoint: Any, why_not: Callable[[], str]) -> Any:
         """Send; the connection is kept for the same host and port.
 
         why_not is asked once the connection is there, which may take as long as it may take to
@@ -118,13 +118,13 @@
         def send(connection: Any) -> Any:
             reason = why_not()
             if reason:
-                self._pool.give_back(key, connection)
+                self._pool.release(key, connection)
                 raise WithheldError(reason)
             return connection.request(self._make_request(call))
 
         return self._pool.getConnection(key, endpoint).addCallback(send)
 
-    def _make_request(self, call: "ExactCall") -> Any:
+    def _make_request(self, call: "RawRequest") -> Any:
         authority = f"{call.host}:{call.port}".encode()
         uri = URI(b"http", authority, call.host.encode(), call.port, b"/", b"", b"", b"")
         headers = Headers()
@@ -145,7 +145,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ExactCall:
+class RawRequest:
     """A request to be sent as it is; target is the path with its query."""
 
     host: str
@@ -170,7 +170,7 @@
         endpoints: Any = None,
         idle_seconds: float = IDLE_SECONDS,
     ) -> None:
-        pool = CheckedConnections(reactor, idle_seconds, per_host)
+        pool = CheckedConnectionPool(reactor, idle_seconds, per_host)
         self._pool = pool
         self._reactor = reactor
         self._connect_timeout = connect_timeout
@@ -179,7 +179,7 @@
         self._fresh = Agent.usingEndpointFactory(reactor, endpoints)
         make_exact: Any = _ExactAgent.usingEndpointFactory
         self._exact = make_exact(reactor, _NoEndpoints(), pool)
-        single_use = CheckedConnections(reactor, 0.0, 0, persistent=False)
+        single_use = CheckedConnectionPool(reactor, 0.0, 0, persistent=False)
         self._exact_fresh = make_exact(reactor, _NoEndpoints(), single_use)
 
     async def open(
@@ -189,7 +189,7 @@
         headers: dict[str, str] | None = None,
         body: bytes = b"",
         fresh: bool = False,
-    ) -> StreamStart:
+    ) -> StreamedResponse:
         """Send a call and wait for status and headers; raises CallFailedError.
 
         fresh opens a new connection, so that a failure to connect proves that nothing was sent.
@@ -200,9 +200,9 @@
         call = agent.request(method.encode(), url.encode(), raw, producer)
         return await self._receive(call)
 
-    async def open_exact(
-        self, call: ExactCall, fresh: bool = False, why_not: Callable[[], str] = lambda: ""
-    ) -> StreamStart:
+    async def open_raw(
+        self, call: RawRequest, fresh: bool = False, withhold_reason: Callable[[], str] = lambda: ""
+    ) -> StreamedResponse:
         """As open, for a request that is passed on as it is.
 
         why_not is asked just before it is sent; raises WithheldError with its answer unless empty.
@@ -211,9 +211,9 @@
             self._reactor, call.host, call.port, timeout=self._connect_timeout
         )
         agent = self._exact_fresh if fresh else self._exact
-        return await self._receive(agent.request_exact(call, endpoint, why_not))
+        return await self._receive(agent.request_exact(call, endpoint, withhold_reason))
 
-    async def _receive(self, call: Any) -> StreamStart:
+    async def _receive(self, call: Any) -> StreamedResponse:
         """Wait for status and headers; raises CallFailedError."""
         answered: asyncio.Future[Any] = call.asFuture(asyncio.get_running_loop())
         try:
@@ -224,7 +224,7 @@
             refused = isinstance(error, net_error.ConnectionRefusedError)
             raise CallFailedError(type(error).__name__, sent=False, refused=refused) from None
         except asyncio.CancelledError:
-            drop_if_answered(answered)
+            close_if_answered(answered)
             raise
         except Exception as error:
             raise CallFailedError(type(error).__name__, sent=True) from None
@@ -232,9 +232,9 @@
             name.decode("latin-1").lower(): b", ".join(values).decode("latin-1")
             for name, values in response.headers.getAllRawHeaders()
         }
-        return StreamStart(response.code, names, response)
+        return StreamedResponse(response.code, names, response)
 
-    async def reach(self, host: str, port: int) -> Reach:
+    async def try_connect(self, host: str, port: int) -> ConnectOutcome:
         """Whether anybody listens at a place: connects and closes."""
         endpoint = TCP4ClientEndpoint(self._reactor, host, port, timeout=self._connect_timeout)
         knock: Any = _KnockFactory()
@@ -242,12 +242,12 @@
         try:
             connection = await connecting.asFuture(asyncio.get_running_loop())
         except net_error.ConnectionRefusedError:
-            return Reach.REFUSED
+            return ConnectOutcome.REFUSED
         except net_error.ConnectError:
             # No answer in time, or no way there.
-            return Reach.SILENT
+            return ConnectOutcome.UNREACHABLE
         connection.transport.abortConnection()
-        return Reach.LISTENS
+        return ConnectOutcome.CONNECTED
 
     async def call(
         self,
@@ -257,8 +257,8 @@
         body: bytes = b"",
         timeout: float = 5.0,
         fresh: bool = False,
-        on_head: Callable[[StreamStart], None] = lambda start: None,
-    ) -> Answer:
+        on_head: Callable[[StreamedResponse], None] = lambda start: None,
+    ) -> HttpResponse:
         """Make a call and read the whole answer; raises CallFailedError.
 
         on_head gets status and headers when they come, whatever becomes of the body.
@@ -270,16 +270,16 @@
                 content = await start.read()
         except TimeoutError:
             raise CallFailedError("no answer in time", sent=True) from None
-        return Answer(start.status, start.headers, content)
+        return HttpResponse(start.status, start.headers, content)
 
-    async def call_while_moving(
+    async def call_with_stall_timeout(
         self,
         method: str,
         url: str,
         stall: float,
         longest: float,
-        on_head: Callable[[StreamStart], None] = lambda start: None,
-    ) -> Answer:
+        on_head: Callable[[StreamedResponse], None] = lambda start: None,
+    ) -> HttpResponse:
         """As call, but stall seconds without a byte, or longest seconds of the body, end it."""
         try:
             async with asyncio.timeout(stall):
@@ -287,12 +287,12 @@
                 on_head(start)
         except TimeoutError:
             raise CallFailedError("no answer in time", sent=True) from None
-        content = await start.read_while_moving(stall, longest)
-        return Answer(start.status, start.headers, content)
+        content = await start.read_with_stall_timeout(stall, longest)
+        return HttpResponse(start.status, start.headers, content)
 
-    def drop_idle(self, host: str, port: int) -> None:
+    def close_idle(self, host: str, port: int) -> None:
         """Close the connections to a place that rest."""
-        self._pool.drop_idle(host, port)
+        self._pool.close_idle(host, port)
 
     async def close(self) -> None:
         """Close the idle connections."""
--- a/pondpin/http_connections.py
+++ b/pondpin/http_connections.py
@@ -48,7 +48,7 @@
                 self.kept_seconds = float(found.group(1))
 
 
-class CheckedConnections(HTTPConnectionPool):
+class CheckedConnectionPool(HTTPConnectionPool):
     """Keeps idle connections for the shorter of the own and the other side's time."""
 
     def __init__(
@@ -61,13 +61,13 @@
         self.cachedConnectionTimeout: Any = idle_seconds
         self._idle_seconds = idle_seconds
 
-    def drop_idle(self, host: str, port: int) -> None:
+    def close_idle(self, host: str, port: int) -> None:
         """Close the connections to a place that rest: whoever had it is no longer there."""
         for key in [key for key in self._connections if _place_of(key) == (host, port)]:
             for connection in list(self._connections[key]):
                 self._close_idle(key, connection)
 
-    def give_back(self, key: Any, connection: Any) -> None:
+    def release(self, key: Any, connection: Any) -> None:
         """Keep a connection that nothing was sent on, if connections are kept here."""
         if self.persistent:
             self._putConnection(key, connection)
--- a/pondpin/http_reply.py
+++ b/pondpin/http_reply.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Incoming:
+class IncomingRequest:
     """A request that arrived whole; header names are lower case."""
 
     method: str
@@ -82,57 +82,55 @@
         # Twisted leaves these methods without types.
         self._request: Any = request
         self.started = False
-        self.gone = False
-        self.on_gone: Callable[[], None] | None = None
+        self.is_closed = False
+        self.on_disconnect: Callable[[], None] | None = None
 
     def start(self, status: int, headers: dict[str, str]) -> None:
         """Send the status and headers; once only."""
         assert not self.started, "an answer starts once"
         self.started = True
-        if self.gone:
+        if self.is_closed:
             return
         self._request.setResponseCode(status)
         for name, value in headers.items():
             self._request.setHeader(name, value)
         self._request.close_if_stopping()
 
-    def start_exact(self, status: int, headers: tuple[tuple[bytes, bytes], ...]) -> None:
+    def start_raw(self, status: int, headers: tuple[tuple[bytes, bytes], ...]) -> None:
         """As start, with headers as they are; repeated ones stay repeated."""
         assert not self.started, "an answer starts once"
         self.started = True
-        if self.gone:
+        if self.is_closed:
             return
         self._request.setResponseCode(status)
         for name, value in headers:
             self._request.responseHeaders.addRawHeader(name, value)
         self._request.close_if_stopping()
 
-    def send_exact(
-        self, status: int, headers: tuple[tuple[bytes, bytes], ...], body: bytes
-    ) -> None:
+    def send_raw(self, status: int, headers: tuple[tuple[bytes, bytes], ...], body: bytes) -> None:
         """As send, with headers as they are; an answer that may have no body keeps its length."""
         bodiless = self._request.method == b"HEAD" or status in http.NO_BODY_CODES
         if not bodiless:
             headers = (*headers, (b"content-length", str(len(body)).encode()))
-        self.start_exact(status, headers)
+        self.start_raw(status, headers)
         self.write(body)
         self.finish()
 
     def write(self, data: bytes) -> None:
         """Send a piece of the body."""
-        if not self.gone:
+        if not self.is_closed:
             self._request.write(data)
 
     def finish(self) -> None:
         """End the answer."""
-        if not self.gone:
-            self.gone = True
+        if not self.is_closed:
+            self.is_closed = True
             self._request.finish()
 
     def abort(self) -> None:
         """Cut the connection so that the caller can't take the answer for whole."""
-        if not self.gone:
-            self.gone = True
+        if not self.is_closed:
+            self.is_closed = True
             self._request.abort_connection()
 
     @property
@@ -173,23 +171,23 @@
         body = msgspec.json.encode(describe_error(error, request))
         self.send(error.status, headers, body)
 
-    def follow(self, source: Pausable) -> None:
+    def attach_source(self, source: Pausable) -> None:
         """Pause the source whenever the caller reads more slowly than it produces."""
-        if not self.gone:
+        if not self.is_closed:
             self._request.registerProducer(_PullBridge(source), True)
 
-    def unfollow(self) -> None:
+    def detach_source(self) -> None:
         """Stop following the source."""
-        if not self.gone:
+        if not self.is_closed:
             self._request.unregisterProducer()
 
-    def mark_gone(self) -> None:
+    def mark_disconnected(self) -> None:
         """The caller closed the connection."""
-        if self.gone:
+        if self.is_closed:
             return
-        self.gone = True
-        if self.on_gone is not None:
-            self.on_gone()
+        self.is_closed = True
+        if self.on_disconnect is not None:
+            self.on_disconnect()
 
 
 @dataclass
--- a/pondpin/http_server.py
+++ b/pondpin/http_server.py
@@ -18,12 +18,12 @@
 
 from pondpin.codes import Code, Ran
 from pondpin.errors import PondpinError
-from pondpin.http_reply import JSON, Incoming, Reply, describe_error
+from pondpin.http_reply import JSON, IncomingRequest, Reply, describe_error
 from pondpin.network import Endpoint
 
 LINGER_SECONDS = 1.0
 # A call that carries one of these may be another try: of the earlier ones nothing is known here.
-REPEAT_HEADERS = ("pondpin-token", "idempotency-key")
+IDEMPOTENCY_HEADERS = ("pondpin-token", "idempotency-key")
 
 
 @dataclass
@@ -33,14 +33,14 @@
     limit: int
     held: int = 0
 
-    def take(self, amount: int) -> bool:
+    def reserve(self, amount: int) -> bool:
         """Reserve bytes; False when that would pass the limit."""
         if self.held + amount > self.limit:
             return False
         self.held += amount
         return True
 
-    def give_back(self, amount: int) -> None:
+    def release(self, amount: int) -> None:
         """Return reserved bytes."""
         assert 0 <= amount <= self.held, "more body bytes returned than held"
         self.held -= amount
@@ -57,7 +57,7 @@
     idle_seconds: float = 75.0
 
 
-Handler = Callable[[Incoming, Reply], Awaitable[None]]
+Handler = Callable[[IncomingRequest, Reply], Awaitable[None]]
 
 
 class BoundedRequest(http.Request):
@@ -85,7 +85,7 @@
             return
         if self.taken + len(data) > self.server.limits.body_bytes:
             self._refuse(PondpinError(Code.BODY_TOO_LARGE))
-        elif not self.server.budget.take(len(data)):
+        elif not self.server.budget.reserve(len(data)):
             self._refuse(PondpinError(Code.BODIES_HELD, retry_after=1.0))
         else:
             self.taken += len(data)
@@ -110,7 +110,7 @@
             for name, values in self.requestHeaders.getAllRawHeaders()
         }
         query = self.uri.partition(b"?")[2].decode("latin-1")
-        incoming = Incoming(
+        incoming = IncomingRequest(
             method=self.method.decode("latin-1"),
             path=self.path.decode("latin-1"),
             query=dict(urllib.parse.parse_qsl(query, keep_blank_values=True)),
@@ -124,10 +124,10 @@
             ),
         )
         reply = Reply(self)
-        self.notifyFinish().addErrback(lambda _: reply.mark_gone())
+        self.notifyFinish().addErrback(lambda _: reply.mark_disconnected())
         self.server.spawn(self._run(incoming, reply))
 
-    async def _run(self, incoming: Incoming, reply: Reply) -> None:
+    async def _run(self, incoming: IncomingRequest, reply: Reply) -> None:
         try:
             await self.server.handle(incoming, reply)
         finally:
@@ -154,7 +154,7 @@
             cast(Any, self.channel).forceAbortClient()
 
     def _release(self) -> None:
-        self.server.budget.give_back(self.taken)
+        self.server.budget.release(self.taken)
         self.taken = 0
 
     def _cancel_timer(self) -> None:
@@ -167,7 +167,7 @@
 
     def _refuse(self, error: PondpinError) -> None:
         """Answer before the body is whole, then close once the caller could read it."""
-        if any(self.requestHeaders.hasHeader(name) for name in REPEAT_HEADERS):
+        if any(self.requestHeaders.hasHeader(name) for name in IDEMPOTENCY_HEADERS):
             error.ran = Ran.UNKNOWN
         self.refused = True
         self._cancel_timer()
@@ -240,7 +240,7 @@
         assert self.port is not None
         return Endpoint(endpoint.host, self.port.getHost().port)
 
-    def set_idle(self, seconds: float) -> None:
+    def set_idle_timeout(self, seconds: float) -> None:
         """Change how long idle connections are kept, for the open ones too."""
         for channel in list(self.channels):
             inner = channel._channel
@@ -267,7 +267,7 @@
             if stopped is not None:
                 await stopped.asFuture(asyncio.get_running_loop())
 
-    def cut(self) -> None:
+    def abort_connections(self) -> None:
         """Break all open connections, as the death of the process does."""
         for channel in list(self.channels):
             inner = channel._channel  # the one that Twisted's generic channel wraps
@@ -280,7 +280,7 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def handle(self, incoming: Incoming, reply: Reply) -> None:
+    async def handle(self, incoming: IncomingRequest, reply: Reply) -> None:
         """Find the handler, run it, and turn errors into answers."""
         try:
             await self._find(incoming.path)(incoming, reply)
--- a/pondpin/http_streams.py
+++ b/pondpin/http_streams.py
@@ -44,7 +44,7 @@
         ...
 
 
-class OpenStream(TwistedProtocol):
+class ResponseStream(TwistedProtocol):
     """A streamed answer being received."""
 
     transport: Any = None
@@ -103,24 +103,24 @@
             connection.abortConnection()
 
 
-def drop_if_answered(answered: "asyncio.Future[Any]") -> None:
+def close_if_answered(answered: "asyncio.Future[Any]") -> None:
     """Close the connection of an answer that came just as its caller stopped waiting."""
     if not answered.done() or answered.cancelled() or answered.exception() is not None:
         return
-    StreamStart(0, {}, answered.result()).drop()
+    StreamedResponse(0, {}, answered.result()).close_unread()
 
 
 @dataclass(frozen=True, slots=True)
-class StreamStart:
+class StreamedResponse:
     """Status and headers of a streamed answer, and the stream to receive it."""
 
     status: int
     headers: dict[str, str]
     response: Any
 
-    def deliver(self, sink: StreamSink) -> OpenStream:
+    def deliver(self, sink: StreamSink) -> ResponseStream:
         """Receive the body into a sink."""
-        stream = OpenStream(sink, self.response)
+        stream = ResponseStream(sink, self.response)
         self.response.deliverBody(stream)
         return stream
 
@@ -133,7 +133,7 @@
             for value in values
         )
 
-    def drop(self) -> None:
+    def close_unread(self) -> None:
         """Close the connection without reading the body."""
         self.deliver(_Nothing()).close()
 
@@ -143,7 +143,7 @@
 
     def discard(self) -> None:
         """Receive the body without looking at it, so that the connection can be kept."""
-        self.response.deliverBody(OpenStream(_Nothing()))
+        self.response.deliverBody(ResponseStream(_Nothing()))
 
     async def read(self, limit: int = ANSWER_LIMIT) -> bytes:
         """Receive the whole body; raises CallFailedError when it breaks or is too large."""
@@ -155,7 +155,7 @@
             collector.stream.abort()
             raise
 
-    async def read_while_moving(
+    async def read_with_stall_timeout(
         self, stall: float, longest: float, limit: int = ANSWER_LIMIT
     ) -> bytes:
         """As read, for as long as bytes come: stall seconds without any, or longest seconds in all,
@@ -192,7 +192,7 @@
 
     def __init__(self, limit: int) -> None:
         self.done: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
-        self.stream: OpenStream | None = None
+        self.stream: ResponseStream | None = None
         self._limit = limit
         self._parts: list[bytes] = []
         self.size = 0
--- a/pondpin/interface_metrics.py
+++ b/pondpin/interface_metrics.py
@@ -25,7 +25,7 @@
             "pondpin_orphans_cancelled_total", "Held work of dead holders that was cancelled."
         )
         self.orders = self._counter("pondpin_orders_total", "Orders sent to engines, by result.")
-        self.gap = self._histogram(
+        self.token_gap = self._histogram(
             "pondpin_token_gap_seconds",
             "Mean time between the tokens of an answer, by class.",
             GAP_BUCKETS,
@@ -37,7 +37,7 @@
         self.held_blocks = self._gauge(
             "pondpin_engine_blocks_held", "Engine blocks held by this instance's requests."
         )
-        self.breaches = self._gauge(
+        self.invariant_breaches = self._gauge(
             "pondpin_invariant_breaches_total", "Breaches of invariants, by name."
         )
         self.in_time = self._counter(
--- a/pondpin/launch.py
+++ b/pondpin/launch.py
@@ -11,7 +11,7 @@
 from pondpin.relay_settings import RelaySettings, read_relay_settings
 from pondpin.runtime import (
     USAGE_STATUS,
-    Ready,
+    ParsedCommand,
     call_on_signal,
     run,
     set_up_logs,
@@ -27,7 +27,7 @@
 RELAY_KEY = "source"
 
 
-def entry(settings: str) -> Ready:
+def entry(settings: str) -> ParsedCommand:
     """Run an entry instance from a settings file: for its own callers, or as a relay."""
 
     def start() -> int:
@@ -42,7 +42,7 @@
         set_up_logs(checked.log_level)
         return run(lambda reactor: serve(reactor, checked))
 
-    return Ready(start)
+    return ParsedCommand(start)
 
 
 def is_relay(path: str) -> bool:
--- a/pondpin/limits.py
+++ b/pondpin/limits.py
@@ -8,7 +8,7 @@
 from typing import TypeVar
 
 from pondpin.notices import DECIMAL
-from pondpin.standing import Rest, Standing, Standings
+from pondpin.standing import Availability, AvailabilityTable, Rest
 
 Life = TypeVar("Life", bound=Hashable)
 
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LimitWord:
+class LimitReport:
     """What an answer said of its upstream's limit; None: it named none, so none holds any more.
 
     asked_at: when the request that it answers was sent, or a little before; heard_at: when its head
@@ -30,12 +30,12 @@
     """
 
     limit: float | None
-    asked_at: float
-    heard_at: float
+    request_sent_at: float
+    received_at: float
     source: str
 
 
-def read_limit(values: Sequence[str]) -> tuple[float | None, str]:
+def parse_limit(values: Sequence[str]) -> tuple[float | None, str]:
     """The limit that an answer names, None when it names none, and a value that is no limit.
 
     A decimal number of any length, as for a rest; of several, in one header or more, the lowest
@@ -52,50 +52,54 @@
     return limit, odd
 
 
-def counts(known: LimitWord | None, heard: LimitWord) -> LimitWord:
+def merge_reports(known: LimitReport | None, heard: LimitReport) -> LimitReport:
     """Which of two words counts.
 
     Heads come out of order: an answer that was asked for before the other word was heard may be the
     earlier one. So only one that was asked for afterwards takes the other's place whatever it says;
     where neither was, the lower limit counts.
     """
-    if known is None or heard.asked_at > known.heard_at + DATING_SECONDS:
+    if known is None or heard.request_sent_at > known.received_at + DATING_SECONDS:
         return heard
     if known.limit == heard.limit:
-        asked_at = max(known.asked_at, heard.asked_at)
-        return replace(known, asked_at=asked_at, heard_at=max(known.heard_at, heard.heard_at))
-    if known.asked_at > heard.heard_at + DATING_SECONDS or heard.limit is None:
+        asked_at = max(known.request_sent_at, heard.request_sent_at)
+        return replace(
+            known, request_sent_at=asked_at, received_at=max(known.received_at, heard.received_at)
+        )
+    if known.request_sent_at > heard.received_at + DATING_SECONDS or heard.limit is None:
         return known
     return heard if known.limit is None or heard.limit < known.limit else known
 
 
-def hear_limit(standings: Standings[Life], life: Life, word: LimitWord, now: float) -> bool:
+def apply_limit(
+    standings: AvailabilityTable[Life], life: Life, word: LimitReport, now: float
+) -> bool:
     """Take a word on a life's limit; True when that changes what it takes.
 
     One that is lifted returns bit by bit, as after a rest: all that kept away would come at once.
     """
-    standings.names_limits = standings.names_limits or word.limit is not None
+    standings.any_limit_reported = standings.any_limit_reported or word.limit is not None
     known = standings.by_life.get(life)
     if word.limit is None and (known is None or known.limit is None):
         return False
-    standing = standings.of(life)
-    before = told_limit(standing.limit)
-    standing.limit = counts(standing.limit, word)
-    standing.is_blank = False
-    if told_limit(standing.limit) == before:
+    standing = standings.get_or_create(life)
+    before = limit_number(standing.limit)
+    standing.limit = merge_reports(standing.limit, word)
+    standing.is_empty = False
+    if limit_number(standing.limit) == before:
         return False
     if standing.limit.limit is None:
         _return_bit_by_bit(standing, now)
     return True
 
 
-def _return_bit_by_bit(standing: Standing, now: float) -> None:
+def _return_bit_by_bit(standing: Availability, now: float) -> None:
     """As at the end of a rest, but at once: it takes requests all the while."""
     if standing.rest is None or standing.rest.until <= now:
         standing.rest = Rest(now, now, now)
 
 
-def told_limit(word: LimitWord | None) -> float:
+def limit_number(word: LimitReport | None) -> float:
     """A limit as a number for logs and messages."""
     if word is None or word.limit is None:
         return NO_LIMIT
--- a/pondpin/metrics.py
+++ b/pondpin/metrics.py
@@ -31,15 +31,15 @@
             "pondpin_upstream_entries_refused_total",
             "Revisions of entries in the published list that name no upstream to use.",
         )
-        self.suspected = self._counter(
+        self.suspected_runs = self._counter(
             "pondpin_suspected_runs_total",
             "Runs of requests that an upstream had ended under before, by service.",
         )
-        self.quarantined = self._counter(
+        self.quarantined_requests = self._counter(
             "pondpin_quarantined_requests_total",
             "Requests refused since upstreams ended each time they ran them, by service.",
         )
-        self.rests_asked = self._counter(
+        self.rests_requested = self._counter(
             "pondpin_upstream_rests_asked_total",
             "Answers in which upstreams asked this instance for rest.",
         )
@@ -50,7 +50,7 @@
             "pondpin_retries_spent_total",
             "Retries taken of the shared budget, by service and by the end before them.",
         )
-        self.withheld = self._counter(
+        self.withheld_attempts = self._counter(
             "pondpin_attempts_withheld_total",
             "Attempts that were planned and not sent, by what held once connected.",
         )
--- a/pondpin/notices.py
+++ b/pondpin/notices.py
@@ -24,17 +24,17 @@
     instances together, None when it names no limit; odd_limit: one that can't be understood.
     """
 
-    leaves: bool = False
+    is_leaving: bool = False
     rest: float = 0.0
-    odd: str = ""
+    invalid_rest: str = ""
     limit: float | None = None
-    odd_limit: str = ""
+    invalid_limit: str = ""
 
 
-NOTHING = Notice()
+EMPTY_NOTICE = Notice()
 
 
-def read_notice(
+def parse_notice(
     status: int,
     leaves: bool,
     retry_after: Sequence[str],
@@ -48,7 +48,7 @@
     limit, odd_limit = _read_limit(limits) if limits else (None, "")
     if status != REST_STATUS or not retry_after:
         is_silent = not leaves and limit is None and not odd_limit
-        return NOTHING if is_silent else Notice(leaves, limit=limit, odd_limit=odd_limit)
+        return EMPTY_NOTICE if is_silent else Notice(leaves, limit=limit, invalid_limit=odd_limit)
     rest, odd = 0.0, ""
     for value in _split(retry_after):
         seconds = read_rest(value, date, wall_now)
@@ -62,9 +62,9 @@
 
 def _read_limit(values: Sequence[str]) -> tuple[float | None, str]:
     # Few upstreams ever name one.
-    from pondpin.limits import read_limit
+    from pondpin.limits import parse_limit
 
-    return read_limit(values)
+    return parse_limit(values)
 
 
 def read_rest(value: str, date: str, wall_now: float) -> float | None:
--- a/pondpin/operators.py
+++ b/pondpin/operators.py
@@ -17,12 +17,12 @@
 from pondpin.decisions import Decision, DecisionLog
 from pondpin.errors import PeerUnreachableError, PondpinError
 from pondpin.fleet import Fleet, UpstreamState
-from pondpin.http_reply import Incoming, Reply
+from pondpin.http_reply import IncomingRequest, Reply
 from pondpin.http_server import WebServer
 from pondpin.identity import Identity
 from pondpin.invariants import INVARIANTS
 from pondpin.ledger import Ledger
-from pondpin.limit_turns import Sharer
+from pondpin.limit_turns import InstancePosition
 from pondpin.metrics import Metrics
 from pondpin.positions import epoch_of, revision_of
 from pondpin.scheduler import Scheduler
@@ -124,7 +124,7 @@
     def __init__(self, operators: tuple[Operator, ...]) -> None:
         self._operators = operators
 
-    def check(self, incoming: Incoming, act: bool) -> str:
+    def check(self, incoming: IncomingRequest, act: bool) -> str:
         """The operator's name; raises PondpinError with OPERATOR_DENIED."""
         if not self._operators:
             return "anyone"
@@ -185,21 +185,21 @@
         server.route("/v1/drain", self._drain)
         server.route("/v1/undrain", self._undrain)
 
-    async def _health(self, incoming: Incoming, reply: Reply) -> None:
+    async def _health(self, incoming: IncomingRequest, reply: Reply) -> None:
         reply.send(200, {"content-type": "text/plain"}, b"ok\n")
 
-    async def show_ready(self, incoming: Incoming, reply: Reply) -> None:
+    async def show_ready(self, incoming: IncomingRequest, reply: Reply) -> None:
         """Answer the balancer: 200 when ready, 503 when not."""
         if self._lifecycle.ready:
             reply.send(200, {"content-type": "text/plain"}, b"ready\n")
         else:
             reply.send(503, {"content-type": "text/plain"}, b"not ready\n")
 
-    async def _show_metrics(self, incoming: Incoming, reply: Reply) -> None:
+    async def _show_metrics(self, incoming: IncomingRequest, reply: Reply) -> None:
         content, headers = self._metrics.render(incoming.headers.get("accept", ""))
         reply.send(200, headers, content)
 
-    async def _status(self, incoming: Incoming, reply: Reply) -> None:
+    async def _status(self, incoming: IncomingRequest, reply: Reply) -> None:
         self._gate.check(incoming, act=False)
         reply.send_json(self.status())
 
@@ -247,7 +247,7 @@
             for _, peer in sorted(self._book.table.items())
         )
 
-    async def _upstreams(self, incoming: Incoming, reply: Reply) -> None:
+    async def _upstreams(self, incoming: IncomingRequest, reply: Reply) -> None:
         self._gate.check(incoming, act=False)
         now = self._clock()
         rows = [self._row(state, now) for _, state in sorted(self._fleet.by_name.items())]
@@ -278,7 +278,7 @@
             prefix_trust=round(state.prefixes.trust, 3),
         )
 
-    async def _configuration(self, incoming: Incoming, reply: Reply) -> None:
+    async def _configuration(self, incoming: IncomingRequest, reply: Reply) -> None:
         self._gate.check(incoming, act=False)
         snapshot: Snapshot | None = self._store.snapshot
         if snapshot is None:
@@ -289,7 +289,7 @@
         }
         reply.send(200, headers, self._store.document)
 
-    async def _explain(self, incoming: Incoming, reply: Reply) -> None:
+    async def _explain(self, incoming: IncomingRequest, reply: Reply) -> None:
         self._gate.check(incoming, act=False)
         asked = incoming.query
         request = ExplainRequest(
@@ -324,30 +324,30 @@
             return []
         return [msgspec.json.decode(record, type=Decision) for record in reply.records]
 
-    async def _drain(self, incoming: Incoming, reply: Reply) -> None:
+    async def _drain(self, incoming: IncomingRequest, reply: Reply) -> None:
         self._act(incoming, "drains")
         self._lifecycle.drain()
         reply.send_json({"draining": True})
 
-    async def _undrain(self, incoming: Incoming, reply: Reply) -> None:
+    async def _undrain(self, incoming: IncomingRequest, reply: Reply) -> None:
         self._act(incoming, "undrains")
         self._lifecycle.undrain()
         reply.send_json({"draining": False})
 
-    def _act(self, incoming: Incoming, what: str) -> None:
+    def _act(self, incoming: IncomingRequest, what: str) -> None:
         if incoming.method != "POST":
             raise PondpinError(Code.METHOD_NOT_ALLOWED)
         name = self._gate.check(incoming, act=True)
         logging.info("operator %s %s this instance", name, what)
 
 
-def _find_why_not(state: UpstreamState, sharer: Sharer, now: float) -> str:
+def _find_why_not(state: UpstreamState, sharer: InstancePosition, now: float) -> str:
     """Why an upstream gets no new work; empty when it does."""
     if state.leaving:
         return "leaving"
     rest = state.standing.rest
-    if rest is not None and now < rest.back_at:
-        return f"asked for rest, {rest.back_at - now:.1f} s more"
+    if rest is not None and now < rest.resume_at:
+        return f"asked for rest, {rest.resume_at - now:.1f} s more"
     if state.health.is_ejected(now):
         return f"ejected for {state.health.ejected_until - now:.1f} s more"
     if state.turns is not None and not state.has_turn(sharer, now):
--- a/pondpin/pace.py
+++ b/pondpin/pace.py
@@ -19,42 +19,42 @@
     """
 
     life: int
-    at: float
-    until: float
+    valid_from: float
+    valid_until: float
     host: str = ""
 
 
 @dataclass(slots=True)
-class Pace:
+class Pacer:
     """Hands out permits at an even pace; due: when the next would be, were none saved up."""
 
     due: float
 
     @classmethod
-    def begin(cls, rate: float, now: float) -> "Pace":
+    def begin(cls, rate: float, now: float) -> "Pacer":
         """A pace that has saved nothing up; rate in permits a second."""
-        return cls(now + gap_of(rate))
+        return cls(now + permit_interval(rate))
 
-    def follow(self, earlier: "Pace", earlier_rate: float, rate: float, now: float) -> None:
+    def inherit(self, earlier: "Pacer", earlier_rate: float, rate: float, now: float) -> None:
         """Take over what an earlier pace had handed out ahead of time, at its rate."""
         if earlier_rate > 0 and rate > 0:
             ahead = (earlier.due - now) * earlier_rate
-            self.due = max(self.due, now + ahead * gap_of(rate))
+            self.due = max(self.due, now + ahead * permit_interval(rate))
 
-    def free_at(self, now: float) -> float:
+    def available_at(self, now: float) -> float:
         """When the next permit can be had."""
         return max(now, self.due - SAVED_SECONDS)
 
-    def take(self, rate: float, at: float) -> None:
+    def issue(self, rate: float, at: float) -> None:
         """Hand one out that is spent at a moment, or count one that was spent unasked."""
-        self.due = max(self.due, at) + gap_of(rate)
+        self.due = max(self.due, at) + permit_interval(rate)
 
-    def give_back(self, rate: float) -> None:
+    def release(self, rate: float) -> None:
         """One that was handed out was not spent."""
         if rate > 0:
-            self.due -= gap_of(rate)
+            self.due -= permit_interval(rate)
 
 
-def gap_of(rate: float) -> float:
+def permit_interval(rate: float) -> float:
     """Seconds between two permits."""
     return 1.0 / rate if rate > 0 else math.inf
--- a/pondpin/platform/requests.py
+++ b/pondpin/platform/requests.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Callable, Iterable, Sequence
 
-from pondpin.http_streams import StreamStart
+from pondpin.http_streams import StreamedResponse
 from pondpin.network import Endpoint, parse_endpoint
-from pondpin.notices import NOTHING, Notice, read_notice
+from pondpin.notices import EMPTY_NOTICE, Notice, parse_notice
 from pondpin.relay.model import Load, RequestMetadata, ResponseHead
 from pondpin.relay.ports import ForwardMetadata, HeadCallback
 from pondpin.runtime import wall_now
@@ -140,7 +140,7 @@
         )
 
 
-def head_observer(hear: HeadCallback) -> Callable[[StreamStart], None]:
+def head_observer(hear: HeadCallback) -> Callable[[StreamedResponse], None]:
     """Tells what an answer to a check, a report or an order says of its worker."""
     read_head = PlatformDialect().read_head
     return lambda start: hear(read_head(start.status, start.raw_headers))
@@ -150,11 +150,11 @@
     """What any answer of a worker says of it, whatever was asked."""
     names = {key.lower() for key, _ in headers}
     if not names & {LEAVING, LIMIT, RETRY_AFTER}:
-        return NOTHING
+        return EMPTY_NOTICE
     asked = _all(headers, RETRY_AFTER)
     leaves = any(key.lower() == LEAVING and value.strip() == LEAVES for key, value in headers)
     date = _first(headers, DATE).decode("latin-1")
-    return read_notice(status, leaves, asked, date, wall_now(), _all(headers, LIMIT))
+    return parse_notice(status, leaves, asked, date, wall_now(), _all(headers, LIMIT))
 
 
 def _all(headers: RawHeaders, name: bytes) -> list[str]:
--- a/pondpin/platform/store.py
+++ b/pondpin/platform/store.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from pondpin.http_client import Answer, HttpClient
-from pondpin.http_streams import CallFailedError, StreamStart
+from pondpin.http_client import HttpClient, HttpResponse
+from pondpin.http_streams import CallFailedError, StreamedResponse
 from pondpin.relay.ports import (
     ConfigurationChange,
     ConfigurationRead,
@@ -178,13 +178,13 @@
             # The next page starts after the last key; the name of the field is the store's.
             start = f"&sinceRevision={quote(page.items[-1].key, safe='/')}"
 
-    async def _get(self, call: str, stall: float) -> Answer:
+    async def _get(self, call: str, stall: float) -> HttpResponse:
         url = f"{self._base}/{call}"
-        return await self._http.call_while_moving(
+        return await self._http.call_with_stall_timeout(
             "GET", url, stall, MAX_READ_SECONDS, self._receive_head
         )
 
-    def _receive_head(self, start: StreamStart) -> None:
+    def _receive_head(self, start: StreamedResponse) -> None:
         self._on_head(parse_source_head(start.headers))
 
 
--- a/pondpin/quarantine.py
+++ b/pondpin/quarantine.py
@@ -33,32 +33,32 @@
 # The first quarantine; each further end doubles it. It is many times a worker's return (3 s), so
 # that one deadly request takes one worker a minute at most.
 QUARANTINE_SECONDS = 60.0
-LONGEST_QUARANTINE_SECONDS = 3600.0
+MAX_QUARANTINE_SECONDS = 3600.0
 # When a quarantine is over the instances may try in turn, this far apart, so that one that ends
 # its worker has told the others before the next one's turn comes.
-TURN_SECONDS = 5.0
+TRIAL_INTERVAL_SECONDS = 5.0
 # Lives of a rack or a service that lose power go within this of one another; a deadly request needs
 # 0.1 s and more from one to the next.
 CROWD_SECONDS = 0.35
 # So many other lives, or this share of the service's, are no coincidence.
-CROWD_LIVES = 2
+CORRELATED_LIVES = 2
 CROWD_SHARE = 0.25
 # A request that ended whole is no suspect for so long. Workers' software may change meanwhile.
-GOOD_SECONDS = 30.0
+SUCCESS_SECONDS = 30.0
 # A run of a suspect that was told and whose end was not: its instance is gone.
-RUN_SECONDS = 2.0
+RUN_TIMEOUT_SECONDS = 2.0
 # A suspect's next run waits until this long after its last end: by then every instance has told
 # where it sent what it had there.
 SETTLE_SECONDS = 0.06
 # Others keep off a suspect's upstream for so long: a deadly one ends it within 0.2 s of being sent.
-SHUN_SECONDS = 0.5
+AVOID_SECONDS = 0.5
 # An end that proved to say nothing is remembered, so that a peer's older word doesn't bring it
 # back.
-VOID_SECONDS = 60.0
+VOID_RETENTION_SECONDS = 60.0
 # Bounds of memory: 0.3 kB a suspect, 0.1 kB a good request. Void ones go first, then those with the
 # fewest ends, then the oldest.
-MOST_SUSPECTS = 1000
-MOST_ENDS = 12
+MAX_SUSPECTS = 1000
+MAX_ENDS = 12
 MOST_GOOD = 4096
 
 
@@ -87,7 +87,7 @@
     settled: bool = False
     source: str = ""
 
-    def join(self, other: "LifeEnd") -> "LifeEnd":
+    def merge(self, other: "LifeEnd") -> "LifeEnd":
         """What two words on one end say together."""
         return replace(
             self,
@@ -100,7 +100,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judgement:
+class Assessment:
     """A verdict with the ends that count; until: when a quarantine is over.
 
     spent_releases: software that the request has ended; only other one may try it.
@@ -109,39 +109,39 @@
     verdict: Verdict
     ends: tuple[LifeEnd, ...] = ()
     until: float = 0.0
-    spent_releases: frozenset[int] = frozenset()
+    failed_releases: frozenset[int] = frozenset()
 
     @property
-    def run_from(self) -> float:
+    def earliest_run_at(self) -> float:
         """From when on a suspect may run."""
         return self.ends[-1].at + SETTLE_SECONDS if self.ends else 0.0
 
     @property
-    def may_try_again(self) -> bool:
+    def allows_retry(self) -> bool:
         """Whether a second upstream may follow one that ended: only after the first end of all."""
         return len(self.ends) <= 1
 
 
-FREE = Judgement(Verdict.FREE)
+FREE = Assessment(Verdict.FREE)
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class AssessmentContext:
     """What a verdict depends on beside the ends.
 
     lives: upstreams of the request's service. releases: the software that they run. turn: how many
     instances come before this one when a quarantine is over.
     """
 
-    lives: int = 0
+    upstream_count: int = 0
     releases: frozenset[int] = frozenset()
-    turn: int = 0
+    trial_rank: int = 0
 
 
 def quarantine_seconds(ends: int) -> float:
     """How long a request with so many ends runs nowhere."""
     further = ends - ENDS_TO_QUARANTINE
-    return float(min(LONGEST_QUARANTINE_SECONDS, QUARANTINE_SECONDS * 2**further))
+    return float(min(MAX_QUARANTINE_SECONDS, QUARANTINE_SECONDS * 2**further))
 
 
 @dataclass(frozen=True, slots=True)
@@ -173,14 +173,14 @@
         """Set up the tag, which is worked out when it is asked for."""
         self._tag: int | None = 0
 
-    def note_end(self, identity: int, end: LifeEnd) -> bool:
+    def record_end(self, identity: int, end: LifeEnd) -> bool:
         """Take an end that this instance saw; True when it is news that others need."""
         good_at = self.good_at_by_identity.get(identity)
-        if good_at is not None and end.at - good_at < GOOD_SECONDS:
+        if good_at is not None and end.at - good_at < SUCCESS_SECONDS:
             return False
         return self._join(identity, end)
 
-    def take(self, told: Iterable[NamedEnd], now: float) -> tuple[NamedEnd, ...]:
+    def merge_ends(self, told: Iterable[NamedEnd], now: float) -> tuple[NamedEnd, ...]:
         """Take what a peer told; returns what it should know better: ends that are void here."""
         better = []
         for item in told:
@@ -195,7 +195,7 @@
     def _join(self, identity: int, end: LifeEnd) -> bool:
         ends = self.ends_by_identity.setdefault(identity, {})
         known = ends.get(end.life)
-        joined = end if known is None else known.join(end)
+        joined = end if known is None else known.merge(end)
         if joined == known:
             return False
         ends[end.life] = joined
@@ -206,9 +206,9 @@
 
     def _bound(self, identity: int) -> None:
         ends = self.ends_by_identity[identity]
-        if len(ends) > MOST_ENDS:
+        if len(ends) > MAX_ENDS:
             self._drop(identity, min(ends.values(), key=lambda end: (not end.void, end.at)))
-        if len(self.ends_by_identity) > MOST_SUSPECTS:
+        if len(self.ends_by_identity) > MAX_SUSPECTS:
             self._forget(min(self.ends_by_identity, key=self._weight))
 
     def _weight(self, identity: int) -> tuple[int, float]:
@@ -216,7 +216,7 @@
         latest = max(end.at for end in self.ends_by_identity[identity].values())
         return len(self._standing(identity)), latest
 
-    def note_good(self, identity: int, now: float) -> tuple[NamedEnd, ...]:
+    def record_success(self, identity: int, now: float) -> tuple[NamedEnd, ...]:
         """A request ended whole: its ends say nothing; returns those that were believed to."""
         self.good_at_by_identity[identity] = now
         self.good_at_by_identity.move_to_end(identity)
@@ -227,9 +227,9 @@
     def clear(self, identity: int) -> tuple[NamedEnd, ...]:
         """All ends of a request say nothing; returns those that were believed to."""
         standing = self._standing(identity)
-        return tuple(self.mark(identity, end.life, void=True) for end in standing)
+        return tuple(self.settle(identity, end.life, void=True) for end in standing)
 
-    def mark(self, identity: int, life: int, void: bool = False) -> NamedEnd:
+    def settle(self, identity: int, life: int, void: bool = False) -> NamedEnd:
         """An end is settled: the list agrees, or it is void."""
         known = self.ends_by_identity[identity][life]
         marked = replace(known, void=known.void or void, settled=True)
@@ -246,15 +246,15 @@
             if not end.settled and not end.void
         )
 
-    def judge(self, identity: int, now: float, around: Surroundings) -> Judgement:
+    def assess(self, identity: int, now: float, around: AssessmentContext) -> Assessment:
         """Whether a request may run now."""
-        ends = self._counted(identity, around.lives)
+        ends = self._counted(identity, around.upstream_count)
         if not ends:
             return FREE
         if len(ends) < ENDS_TO_QUARANTINE:
             likely = [end for end in ends if not end.unlikely]
             is_fresh = now - ends[-1].at < SUSPICION_SECONDS
-            return Judgement(Verdict.SUSPECTED, ends) if likely and is_fresh else FREE
+            return Assessment(Verdict.SUSPECTED, ends) if likely and is_fresh else FREE
         return _judge_proved(ends, now, around)
 
     def _counted(self, identity: int, lives: int) -> tuple[LifeEnd, ...]:
@@ -283,7 +283,7 @@
 
     def _is_in_crowd(self, end: LifeEnd, own: set[int], lives: int) -> bool:
         """Whether many lives that the request did not run on ended at the same time."""
-        limit = max(CROWD_LIVES, CROWD_SHARE * lives)
+        limit = max(CORRELATED_LIVES, CROWD_SHARE * lives)
         others = 0
         for life, identities in self.identities_by_life.items():
             if life not in own and self._ended_with(life, identities, end.at):
@@ -321,15 +321,15 @@
     def is_running(self, identity: int, now: float) -> bool:
         """Whether a suspect runs anywhere."""
         runs = self.runs_by_identity.get(identity, {}).values()
-        return any(now - run.began < RUN_SECONDS for run in runs)
+        return any(now - run.began < RUN_TIMEOUT_SECONDS for run in runs)
 
-    def shunned(self, now: float) -> frozenset[int]:
+    def avoided_lives(self, now: float) -> frozenset[int]:
         """Lives of upstreams that may end in a moment: a suspect has just been sent there."""
         return frozenset(
             run.life
             for runs in self.runs_by_identity.values()
             for run in runs.values()
-            if now - run.began < SHUN_SECONDS
+            if now - run.began < AVOID_SECONDS
         )
 
     def prune(self, now: float) -> None:
@@ -341,7 +341,7 @@
                 self._forget(identity)
         for identity, runs in list(self.runs_by_identity.items()):
             for instance, run in list(runs.items()):
-                if now - run.began >= RUN_SECONDS:
+                if now - run.began >= RUN_TIMEOUT_SECONDS:
                     self.end_run(identity, instance)
 
     def _forget(self, identity: int) -> None:
@@ -357,7 +357,7 @@
             del self.identities_by_life[end.life]
         self._tag = None
 
-    def most_telling(self, most: int) -> tuple[NamedEnd, ...]:
+    def top_ends(self, most: int) -> tuple[NamedEnd, ...]:
         """The ends that others need most: of the requests with most ends, the newest."""
         ordered = sorted(self.ends_by_identity, key=self._weight, reverse=True)
         found = (
@@ -366,7 +366,7 @@
         return tuple(item for item, _ in zip(found, range(most), strict=False))
 
     @property
-    def tag(self) -> int:
+    def fingerprint(self) -> int:
         """A number that is alike where the same ends are believed; 0 where there are none."""
         if self._tag is None:
             names = sorted(
@@ -378,31 +378,31 @@
         return self._tag
 
 
-def _judge_proved(ends: tuple[LifeEnd, ...], now: float, around: Surroundings) -> Judgement:
+def _judge_proved(ends: tuple[LifeEnd, ...], now: float, around: AssessmentContext) -> Assessment:
     """A request with ends enough: it waits, or is tried once more."""
     until = ends[-1].at + quarantine_seconds(len(ends))
-    if now >= until + around.turn * TURN_SECONDS:
-        return Judgement(Verdict.SUSPECTED, ends, until)
+    if now >= until + around.trial_rank * TRIAL_INTERVAL_SECONDS:
+        return Assessment(Verdict.SUSPECTED, ends, until)
     spent = frozenset(end.release for end in ends)
-    if around.turn == 0 and 0 not in spent and around.releases - spent:
+    if around.trial_rank == 0 and 0 not in spent and around.releases - spent:
         # New software may have no trouble with it: one instance tries it there.
-        return Judgement(Verdict.SUSPECTED, ends, until, spent)
-    return Judgement(Verdict.QUARANTINED, ends, until)
+        return Assessment(Verdict.SUSPECTED, ends, until, spent)
+    return Assessment(Verdict.QUARANTINED, ends, until)
 
 
 def _forget_at(standing: int, latest: LifeEnd) -> float:
     """When a request is forgotten: after twice its quarantine, or once all its ends are void."""
     if not standing:
-        return latest.at + VOID_SECONDS
+        return latest.at + VOID_RETENTION_SECONDS
     if standing < ENDS_TO_QUARANTINE:
         return latest.at + SUSPICION_SECONDS
     return latest.at + 2 * quarantine_seconds(standing) + SUSPICION_SECONDS
 
 
-Turn = Callable[[int], int]
+TrialRank = Callable[[int], int]
 
 
-def turn_of(identity: int, instance: str, peers: Iterable[str]) -> int:
+def compute_trial_rank(identity: int, instance: str, peers: Iterable[str]) -> int:
     """How many live peers come before an instance in an order that differs by request."""
     own = _place(identity, instance)
     return sum(_place(identity, peer) < own for peer in peers)
--- a/pondpin/quarantine_messages.py
+++ b/pondpin/quarantine_messages.py
@@ -9,7 +9,7 @@
 MILLISECONDS = 1000.0
 
 
-class EndTold(msgspec.Struct, frozen=True, array_like=True):
+class EndReport(msgspec.Struct, frozen=True, array_like=True):
     """An end; age is in ms. See LifeEnd."""
 
     identity: int
@@ -21,18 +21,18 @@
     settled: bool
 
 
-_DECODER = msgspec.msgpack.Decoder(tuple[EndTold, ...])
+_DECODER = msgspec.msgpack.Decoder(tuple[EndReport, ...])
 _ENCODER = msgspec.msgpack.Encoder()
 
 
-def tell_end(item: NamedEnd, now: float) -> EndTold:
+def build_report(item: NamedEnd, now: float) -> EndReport:
     """An end as it is told; its age is never told too small."""
     end = item.end
     age = int(max(0.0, now - end.at) * MILLISECONDS) + 1
-    return EndTold(item.identity, end.life, age, end.release, end.unlikely, end.void, end.settled)
+    return EndReport(item.identity, end.life, age, end.release, end.unlikely, end.void, end.settled)
 
 
-def heard_end(told: EndTold, source: str, now: float) -> NamedEnd:
+def parse_report(told: EndReport, source: str, now: float) -> NamedEnd:
     """An end as it was told a moment ago."""
     end = LifeEnd(
         told.life,
@@ -48,7 +48,7 @@
 
 def encode_ends(ends: Iterable[NamedEnd], now: float) -> bytes:
     """Ends as bytes, empty for none."""
-    told = tuple(tell_end(item, now) for item in ends)
+    told = tuple(build_report(item, now) for item in ends)
     return _ENCODER.encode(told) if told else b""
 
 
@@ -60,4 +60,4 @@
         told = _DECODER.decode(data)
     except msgspec.MsgspecError:
         return ()
-    return tuple(heard_end(item, source, now) for item in told)
+    return tuple(parse_report(item, source, now) for item in told)
--- a/pondpin/relay/attempts/attempt.py
+++ b/pondpin/relay/attempts/attempt.py
@@ -5,8 +5,8 @@
 from typing import Protocol
 
 from pondpin.clocks import Clock
-from pondpin.http_client import ExactCall, HttpClient
-from pondpin.http_streams import CallFailedError, OpenStream, StreamStart, WithheldError
+from pondpin.http_client import HttpClient, RawRequest
+from pondpin.http_streams import CallFailedError, ResponseStream, StreamedResponse, WithheldError
 from pondpin.relay.attempts.events import EventSplitter
 from pondpin.relay.call import AttemptEnd, BufferedResponse, EndKind, Progress, RelayCall
 from pondpin.relay.choosing.planner import Plan
@@ -79,7 +79,7 @@
         self._seen = False
         self.last_data_at = clock()
         self.ended: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self.stream: OpenStream | None = None
+        self.stream: ResponseStream | None = None
 
     def on_data(self, data: bytes) -> None:
         """Take a piece of the body."""
@@ -155,18 +155,16 @@
     async def _wait_for_head(
         self,
         call: RelayCall,
-        exact: ExactCall,
+        exact: RawRequest,
         patience: StallTimeouts,
         watcher: AttemptObserver,
         began: float,
-    ) -> StreamStart | None:
+    ) -> StreamedResponse | None:
         """Send and wait for the head; None when patience or time is over."""
         # A call that may not be repeated gets a new connection: failing to connect then
         # proves that nothing was sent.
         fresh = not call.route.idempotent
-        opening = asyncio.ensure_future(
-            self._http.open_exact(exact, fresh, watcher.withhold_reason)
-        )
+        opening = asyncio.ensure_future(self._http.open_raw(exact, fresh, watcher.withhold_reason))
         try:
             while True:
                 left = self._time_left(call, patience.first_event_seconds, began, watcher)
@@ -187,7 +185,7 @@
         parts: tuple[PartAssignment, ...],
         progress: Progress,
         now: float,
-    ) -> ExactCall:
+    ) -> RawRequest:
         listed = plan.lead.listed
         resume = str(progress.last_event_number) if progress.events else ""
         sent = ForwardMetadata(
@@ -199,7 +197,7 @@
             parts=parts,
         )
         headers = self._dialect.forward_headers(call.incoming.raw_headers, sent)
-        return ExactCall(
+        return RawRequest(
             host=listed.host,
             port=listed.port,
             method=call.incoming.method.encode("latin-1"),
@@ -251,7 +249,7 @@
         return ""
 
     async def _read_whole(
-        self, call: RelayCall, start: StreamStart, head: ResponseHead, began: float
+        self, call: RelayCall, start: StreamedResponse, head: ResponseHead, began: float
     ) -> AttemptEnd:
         try:
             body = await asyncio.wait_for(start.read(), self._limit(call, None, began))
@@ -269,7 +267,7 @@
     async def _pass_events(
         self,
         call: RelayCall,
-        start: StreamStart,
+        start: StreamedResponse,
         head: ResponseHead,
         progress: Progress,
         patience: StallTimeouts,
@@ -279,17 +277,17 @@
         def begin() -> None:
             if not progress.head_sent:
                 progress.head_sent = True
-                call.reply.start_exact(head.status, head.headers)
+                call.reply.start_raw(head.status, head.headers)
 
         sink = EventSink(call, progress, self._clock, begin, watcher)
         sink.last_data_at = began
         stream = start.deliver(sink)
         sink.stream = stream
-        call.reply.follow(stream)
+        call.reply.attach_source(stream)
         try:
             whole = await self.wait_for_end(call, sink, progress, patience, watcher)
         finally:
-            call.reply.unfollow()
+            call.reply.detach_source()
             if not sink.ended.done() or not sink.ended.result():
                 stream.abort()
         if whole is None:
--- a/pondpin/relay/attempts/crash_guard.py
+++ b/pondpin/relay/attempts/crash_guard.py
@@ -14,7 +14,7 @@
 from pondpin.metrics import Metrics
 from pondpin.quarantine import (
     Quarantine,
-    Turn,
+    TrialRank,
 )
 from pondpin.relay.attempts.attempt_ends import helper_at_fault
 from pondpin.relay.attempts.run_tracker import (
@@ -43,7 +43,7 @@
     quarantine_sync: QuarantineSync
     tracker: RunTracker
     table: UpstreamTable
-    turn: Turn
+    turn: TrialRank
     list_at: Callable[[], float | None]
     policy: RelayPolicy
     metrics: Metrics
@@ -94,12 +94,12 @@
         """Lives of upstreams that others had better keep off for a moment."""
         if not self.policy.has(Mechanism.QUARANTINE):
             return frozenset()
-        return self.quarantine.shunned(self.clock())
+        return self.quarantine.avoided_lives(self.clock())
 
     def begin(self, call: RelayCall, progress: Progress, plan: Plan) -> Run:
         """A request is about to be sent; leave or look_after ends it."""
         if progress.suspected:
-            self.metrics.suspected.inc({"service": call.service})
+            self.metrics.suspected_runs.inc({"service": call.service})
             identity, life = call.identity, plan.lead.life
             self.quarantine.begin_run(identity, self.quarantine_sync.instance, life, self.clock())
             self.quarantine_sync.running_by_identity[identity] = life
@@ -131,7 +131,7 @@
             # Also when its caller leaves meanwhile: peers would take it for running on.
             self._end(call, progress)
         if end.kind in (EndKind.DONE, EndKind.ANSWERED):
-            cleared = self.quarantine.note_good(call.identity, self.clock())
+            cleared = self.quarantine.record_success(call.identity, self.clock())
             if cleared:
                 self.records.unsent += cleared
 
--- a/pondpin/relay/attempts/handler.py
+++ b/pondpin/relay/attempts/handler.py
@@ -9,7 +9,7 @@
 from pondpin.clocks import Clock
 from pondpin.codes import Code
 from pondpin.errors import PondpinError
-from pondpin.http_reply import Incoming, Reply
+from pondpin.http_reply import IncomingRequest, Reply
 from pondpin.metrics import Metrics
 from pondpin.relay.attempts.admission import (
     AdmissionState,
@@ -92,7 +92,7 @@
         )
         self._windows: dict[str, RetryWindow] = {}
 
-    async def handle(self, incoming: Incoming, reply: Reply) -> None:
+    async def handle(self, incoming: IncomingRequest, reply: Reply) -> None:
         """Serve one request."""
         arrived = self.clock()
         facts = self.dialect.read_request(incoming.raw_headers)
@@ -116,7 +116,7 @@
 
     def _make_call(
         self,
-        incoming: Incoming,
+        incoming: IncomingRequest,
         reply: Reply,
         facts: RequestMetadata,
         admitted: Admitted,
@@ -146,12 +146,12 @@
         connection would carry the request to an upstream at once.
         """
         await asyncio.sleep(0)
-        if call.reply.gone:
+        if call.reply.is_closed:
             self.request_log.caller_gone(call)
             return
         task = asyncio.ensure_future(self._serve(call))
         if call.route.kind is not RouteKind.UNSAFE:
-            call.reply.on_gone = lambda: _cancel(task)
+            call.reply.on_disconnect = lambda: _cancel(task)
         try:
             await task
         except asyncio.CancelledError:
@@ -261,7 +261,7 @@
         # What may not be repeated runs on without its caller, but is not sent once more.
         bars = (
             (end.kind is EndKind.ANSWERED and not is_retryable_answer(call, end), "answered"),
-            (call.reply.gone, "its caller left"),
+            (call.reply.is_closed, "its caller left"),
             (progress.may_have_run and not call.route.idempotent, "it may not run twice"),
             (used_up, "its attempts are used up"),
             (now >= call.deadline, "its time is over"),
@@ -287,7 +287,7 @@
         answer = end.response
         assert answer is not None, "only answered attempts are sent whole"
         progress.first_event_at = self.clock()
-        call.reply.send_exact(answer.status, answer.headers, answer.body)
+        call.reply.send_raw(answer.status, answer.headers, answer.body)
         code = Code.OK if answer.status < FIRST_SERVER_ERROR else Code.UPSTREAM_REFUSED
         self.request_log.ended(call, progress, answer.status, code)
 
--- a/pondpin/relay/attempts/liveness_checks.py
+++ b/pondpin/relay/attempts/liveness_checks.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from pondpin.http_client import Reach
+from pondpin.http_client import ConnectOutcome
 from pondpin.relay.attempts.run_tracker import (
     LATE_START_SECONDS,
     LIST_LAG_SECONDS,
@@ -13,7 +13,7 @@
 )
 from pondpin.relay.log_events import UpstreamEnded
 from pondpin.relay.upstreams.state import UpstreamState
-from pondpin.request_identity import show
+from pondpin.request_identity import format_identity
 
 # A second try waits so long for the answer of such a connection: ways there and back take 4 ms.
 ANSWER_SECONDS = 0.06
@@ -56,7 +56,7 @@
                 ran=tuple(_tell(run, began) for run in runs),
             )
         )
-        if answer is Reach.REFUSED and self._watch.table.is_in_service(state):
+        if answer is ConnectOutcome.REFUSED and self._watch.table.is_in_service(state):
             self.record_refused(state)
 
     def record_refused(self, state: UpstreamState) -> None:
@@ -99,4 +99,7 @@
 
 def _tell(run: Run, now: float) -> str:
     since = round((now - run.began) * MILLISECONDS)
-    return f"{show(run.identity)} {since} ms{' just begun' if run.may_be_starting(now) else ''}"
+    return (
+        f"{format_identity(run.identity)} {since} ms"
+        f"{' just begun' if run.may_be_starting(now) else ''}"
+    )
--- a/pondpin/relay/attempts/passive_health.py
+++ b/pondpin/relay/attempts/passive_health.py
@@ -46,7 +46,7 @@
             self._note_failure(helper, now, "named as at fault", True)
             return
         if end.kind is EndKind.WITHHELD:
-            self._metrics.withheld.inc({})
+            self._metrics.withheld_attempts.inc({})
             return
         if end.kind is EndKind.NOT_EXECUTED or asked_for_rest(plan.lead, began):
             # One that wants rest is well: nothing of its health is lost.
@@ -97,10 +97,10 @@
             return
         self._hearing.handle_head(SentRequest(lead.id, lead.life, REQUEST, asked_at), head)
         if head.status < FIRST_SERVER_ERROR:
-            lead.standing.note_taken(self._clock())
+            lead.standing.record_accepted(self._clock())
 
 
 def asked_for_rest(state: UpstreamState, since: float) -> bool:
     """Whether an upstream has asked for rest since a moment."""
     rest = state.standing.rest
-    return rest is not None and rest.until > rest.asked_at >= since
+    return rest is not None and rest.until > rest.received_at >= since
--- a/pondpin/relay/attempts/permit_acquirer.py
+++ b/pondpin/relay/attempts/permit_acquirer.py
@@ -44,7 +44,7 @@
         self.metrics.permits.inc({"result": "taken" if got else "refused"})
         if isinstance(found, Permit):
             progress.permit = found
-            await asyncio.sleep(max(0.0, found.at - self.clock()))
+            await asyncio.sleep(max(0.0, found.valid_from - self.clock()))
         return got
 
     async def recheck_limit(self, call: RelayCall, progress: Progress) -> None:
@@ -70,8 +70,8 @@
         word = state.standing.limit
         if word is None:
             return False
-        looked_at = self._looked_at_by_life.get(state.life, word.heard_at)
-        return self.clock() - max(word.heard_at, looked_at) > LIMIT_RECHECK_SECONDS
+        looked_at = self._looked_at_by_life.get(state.life, word.received_at)
+        return self.clock() - max(word.received_at, looked_at) > LIMIT_RECHECK_SECONDS
 
     def release(self, progress: Progress) -> None:
         """Give back a permit that was not spent."""
--- a/pondpin/relay/attempts/placer.py
+++ b/pondpin/relay/attempts/placer.py
@@ -17,7 +17,7 @@
 from pondpin.relay.choosing.planner import Plan, Planner
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.table import UpstreamTable
-from pondpin.standing import Bar, nobody_left
+from pondpin.standing import BlockReason, find_unavailability
 
 if TYPE_CHECKING:
     from pondpin.relay.attempts.permit_acquirer import PermitAcquirer
@@ -106,7 +106,7 @@
 
     def _has_limited(self, call: RelayCall) -> bool:
         """Whether any upstream of the service takes requests by permit only."""
-        if not self.table.standings.names_limits:
+        if not self.table.standings.any_limit_reported:
             return False
         return any(state.is_limited for state in self.table.of_service(call.service))
 
@@ -119,16 +119,16 @@
         """Seconds after which a rest is over, None when that is too late, or not why."""
         now = self.clock()
         states = self._untried(call, progress)
-        why = nobody_left((state.standing for state in states), now)
+        why = find_unavailability((state.standing for state in states), now)
         if why is not None:
-            wait = why.back_at - now + WAKE_SECONDS
-        elif any(state.bar(now) is Bar.RETURNS for state in states):
+            wait = why.resume_at - now + WAKE_SECONDS
+        elif any(state.bar(now) is BlockReason.SLOW_START for state in states):
             wait = RETURN_LOOK_SECONDS
         else:
             return None
         job = make_job(call, progress, now)
         is_soon = wait <= REST_WAIT_SHARE * (job.target - job.waited)
-        return wait if is_soon and (why is None or why.bar is Bar.RESTS) else None
+        return wait if is_soon and (why is None or why.reason is BlockReason.RESTING) else None
 
     def _untried(self, call: RelayCall, progress: Progress) -> list[UpstreamState]:
         states = self.table.of_service(call.service)
@@ -144,12 +144,12 @@
             spread = min(MOST_SPREAD_SECONDS, RETRY_SECONDS + wait) * self.rng.random()
             return PondpinError(Code.UPSTREAMS_LIMITED, call.service, retry_after=wait + spread)
         states = self._untried(call, progress) or self.table.of_service(call.service)
-        why = nobody_left((state.standing for state in states), now)
+        why = find_unavailability((state.standing for state in states), now)
         if why is None:
             return PondpinError(Code.NO_UPSTREAM, call.service, retry_after=RETRY_SECONDS)
-        if why.bar is Bar.LEAVES:
+        if why.reason is BlockReason.LEAVING:
             return PondpinError(Code.UPSTREAMS_LEAVE, call.service, retry_after=RETRY_SECONDS)
-        wait = max(0.0, why.back_at - now)
+        wait = max(0.0, why.resume_at - now)
         spread = min(MOST_SPREAD_SECONDS, RETRY_SECONDS + wait) * self.rng.random()
         return PondpinError(Code.UPSTREAMS_REST, call.service, retry_after=wait + spread)
 
--- a/pondpin/relay/attempts/quarantine_records.py
+++ b/pondpin/relay/attempts/quarantine_records.py
@@ -9,12 +9,12 @@
 from pondpin.errors import PondpinError
 from pondpin.metrics import Metrics
 from pondpin.quarantine import (
-    Judgement,
+    Assessment,
+    AssessmentContext,
     LifeEnd,
     NamedEnd,
     Quarantine,
-    Surroundings,
-    Turn,
+    TrialRank,
     Verdict,
 )
 from pondpin.relay.attempts.crash_guard import POLL_SECONDS
@@ -30,7 +30,7 @@
 from pondpin.relay.peers.quarantine_sync import QuarantineSync
 from pondpin.relay.upstreams.state import release_id
 from pondpin.relay.upstreams.table import UpstreamTable
-from pondpin.request_identity import show
+from pondpin.request_identity import format_identity
 
 # A suspect waits so long while another run of it goes on, and is refused then: a deadly one ends in
 # 0.1 s, a harmless one is cleared as soon as a run ends whole.
@@ -49,7 +49,7 @@
     quarantine_sync: QuarantineSync
     tracker: RunTracker
     table: UpstreamTable
-    turn: Turn
+    turn: TrialRank
     list_at: Callable[[], float | None]
     metrics: Metrics
 
@@ -68,32 +68,32 @@
         while True:
             judgement = self.judge(call)
             progress.suspected = judgement.verdict is Verdict.SUSPECTED
-            progress.spent_releases = judgement.spent_releases
+            progress.spent_releases = judgement.failed_releases
             if judgement.verdict is Verdict.QUARANTINED:
                 raise self._refusal(call, judgement)
             if not progress.suspected:
                 return
             now = self.clock()
             is_running = self.quarantine.is_running(call.identity, now)
-            if now >= judgement.run_from and not is_running:
+            if now >= judgement.earliest_run_at and not is_running:
                 return
             if now >= limit:
                 detail = _tell(call, judgement)
                 raise PondpinError(Code.SUSPECTED, detail, retry_after=RETRY_SECONDS)
             await asyncio.sleep(POLL_SECONDS)
 
-    def judge(self, call: RelayCall) -> Judgement:
+    def judge(self, call: RelayCall) -> Assessment:
         """The verdict on a request now."""
         states = self.table.of_service(call.service)
-        around = Surroundings(
-            lives=len(states),
+        around = AssessmentContext(
+            upstream_count=len(states),
             releases=frozenset(release_id(state) for state in states if not state.leaving),
-            turn=self.turn(call.identity),
+            trial_rank=self.turn(call.identity),
         )
-        return self.quarantine.judge(call.identity, self.clock(), around)
+        return self.quarantine.assess(call.identity, self.clock(), around)
 
-    def _refusal(self, call: RelayCall, judgement: Judgement) -> PondpinError:
-        self.metrics.quarantined.inc({"service": call.service})
+    def _refusal(self, call: RelayCall, judgement: Assessment) -> PondpinError:
+        self.metrics.quarantined_requests.inc({"service": call.service})
         left = max(RETRY_SECONDS, judgement.until - self.clock())
         return PondpinError(Code.QUARANTINED, _tell(call, judgement), retry_after=left)
 
@@ -119,7 +119,7 @@
             return judgement.verdict is Verdict.SUSPECTED
         # What may still run at one upstream goes to no other.
         proved = end.kind is EndKind.BROKEN
-        return judgement.verdict is Verdict.SUSPECTED and proved and judgement.may_try_again
+        return judgement.verdict is Verdict.SUSPECTED and proved and judgement.allows_retry
 
     def record_end(self, seen: ObservedEnd) -> None:
         """Record an end that this instance saw, and tell peers."""
@@ -133,7 +133,7 @@
                 not run.may_be_starting(seen.at),
                 source=self.quarantine_sync.instance,
             )
-            if self.quarantine.note_end(run.identity, end):
+            if self.quarantine.record_end(run.identity, end):
                 news.append(NamedEnd(run.identity, end))
         if news:
             self.quarantine_sync.broadcast(news)
@@ -154,7 +154,7 @@
         for item in self.quarantine.unsettled():
             void = self._says_nothing(item.end, now)
             if void is not None:
-                marked = self.quarantine.mark(item.identity, item.end.life, void)
+                marked = self.quarantine.settle(item.identity, item.end.life, void)
                 if void:
                     self.unsent.append(marked)
         if self.unsent:
@@ -176,17 +176,17 @@
 
     def lift(self, identity: int) -> int:
         """An operator clears a request; returns how many ends were believed."""
-        cleared = self.quarantine.note_good(identity, self.clock())
+        cleared = self.quarantine.record_success(identity, self.clock())
         if cleared:
             self.quarantine_sync.broadcast(cleared)
             self._log_verdicts((identity,))
         return len(cleared)
 
-    def describe(self, identity: int) -> tuple[Judgement, tuple[str, ...], float]:
+    def describe(self, identity: int) -> tuple[Assessment, tuple[str, ...], float]:
         """The verdict on an identity, whatever its service, its evidence and its rest."""
         now = self.clock()
-        around = Surroundings(lives=len(self.table.by_id), turn=1)
-        judgement = self.quarantine.judge(identity, now, around)
+        around = AssessmentContext(upstream_count=len(self.table.by_id), trial_rank=1)
+        judgement = self.quarantine.assess(identity, now, around)
         told = tuple(self._tell_end(end, now) for end in judgement.ends)
         return judgement, told, round(max(0.0, judgement.until - now), 2)
 
@@ -201,7 +201,7 @@
                 del self._verdict_by_identity[identity]
             self.log.write(
                 VerdictChanged(
-                    identity=show(identity),
+                    identity=format_identity(identity),
                     verdict=judgement.verdict.value,
                     ends=told,
                     seconds=seconds,
@@ -213,6 +213,9 @@
         return f"{self.table.label_of(end.life)} {age} ms ago, seen by {end.source}"
 
 
-def _tell(call: RelayCall, judgement: Judgement) -> str:
+def _tell(call: RelayCall, judgement: Assessment) -> str:
     """The reason of a refusal; operators find the evidence by the identity."""
-    return f"request {show(call.identity)}: {len(judgement.ends)} upstreams ended while it ran"
+    return (
+        f"request {format_identity(call.identity)}: "
+        f"{len(judgement.ends)} upstreams ended while it ran"
+    )
--- a/pondpin/relay/attempts/request_log.py
+++ b/pondpin/relay/attempts/request_log.py
@@ -13,7 +13,7 @@
 from pondpin.relay.log import EventLog
 from pondpin.relay.log_events import AttemptEnded, CallerDisconnected, Ended, Placed, Refused
 from pondpin.relay.model import RequestMetadata, Route
-from pondpin.request_identity import show
+from pondpin.request_identity import format_identity
 
 if TYPE_CHECKING:
     from pondpin.relay.upstreams.leases import LeaseGroup
@@ -135,8 +135,8 @@
                 helpers=tuple(state.id for state in plan.helpers),
                 leases=len(group.places) if group is not None else 0,
                 resume_after=str(progress.last_event_number) if progress.events else "",
-                identity=show(call.identity),
-                bar=plan.lead.standing.bar(now).value,
+                identity=format_identity(call.identity),
+                bar=plan.lead.standing.block_reason(now).value,
                 limit=plan.lead.limit,
             )
         )
--- a/pondpin/relay/attempts/run_tracker.py
+++ b/pondpin/relay/attempts/run_tracker.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from pondpin.clocks import Clock
-from pondpin.http_client import Reach
+from pondpin.http_client import ConnectOutcome
 from pondpin.relay.log import EventLog
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.table import UpstreamTable
@@ -80,7 +80,7 @@
 class RunTracker:
     """The requests of this instance by the life of the upstream that they run on."""
 
-    reach: Callable[[str, int], Awaitable[Reach]]
+    reach: Callable[[str, int], Awaitable[ConnectOutcome]]
     table: UpstreamTable
     log: EventLog
     clock: Clock
--- a/pondpin/relay/attempts/send_checks.py
+++ b/pondpin/relay/attempts/send_checks.py
@@ -14,7 +14,7 @@
 from pondpin.relay.attempts.crash_guard import CrashGuard
 from pondpin.relay.call import Progress, RelayCall
 from pondpin.relay.choosing.planner import Plan
-from pondpin.standing import Bar
+from pondpin.standing import BlockReason
 
 if TYPE_CHECKING:
     from pondpin.relay.peers.permit_issuer import PermitIssuer
@@ -61,7 +61,7 @@
         lead, permit = plan.lead, progress.permit
         if not lead.is_limited:
             return ""
-        if permit is not None and permit.life == lead.life and self.clock() <= permit.until:
+        if permit is not None and permit.life == lead.life and self.clock() <= permit.valid_until:
             if is_begun:
                 progress.permit = None
             return ""
@@ -86,7 +86,7 @@
     How many requests may be at one that comes back from its rest was settled when it was planned.
     """
     for state in (plan.lead, *plan.helpers):
-        bar = state.standing.bar(now)
-        if bar in (Bar.LEAVES, Bar.RESTS):
+        bar = state.standing.block_reason(now)
+        if bar in (BlockReason.LEAVING, BlockReason.RESTING):
             return f"{state.id} {bar.value}"
     return ""
--- a/pondpin/relay/call.py
+++ b/pondpin/relay/call.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from pondpin.http_reply import Incoming, Reply
+from pondpin.http_reply import IncomingRequest, Reply
 from pondpin.network import Endpoint
 from pondpin.relay.model import RelayConfiguration, RequestMetadata, Route
 
@@ -24,7 +24,7 @@
     identity: see `pondpin.request_identity`.
     """
 
-    incoming: Incoming
+    incoming: IncomingRequest
     reply: Reply
     metadata: RequestMetadata
     route: Route
--- a/pondpin/relay/entry.py
+++ b/pondpin/relay/entry.py
@@ -9,7 +9,7 @@
 import pondpin
 from pondpin.controllers.base import Controller
 from pondpin.http_client import HttpClient
-from pondpin.http_reply import Incoming, Reply
+from pondpin.http_reply import IncomingRequest, Reply
 from pondpin.http_server import WebServer
 from pondpin.metrics import Metrics
 from pondpin.network import Endpoint, parse_endpoint
@@ -56,7 +56,7 @@
 from pondpin.relay.upstreams.probe import ProbeController
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.relay_settings import RelaySettings
-from pondpin.request_identity import make_key
+from pondpin.request_identity import derive_key
 from pondpin.runtime import steady_now, wall_now
 
 # A way to an upstream takes a few ms; a lost opening packet is sent again after a second.
@@ -112,7 +112,7 @@
             lambda kind, key, reason: self.publication_handler.log_rejected(kind, key, reason),
             lambda report: self.publication_handler.log_report(report),
             prefer_peers_until=self._made_at + PEERS_FIRST_SECONDS
-            if settings.peers.names_others
+            if settings.peers.has_remote_peers
             else 0.0,
         )
 
@@ -171,7 +171,7 @@
         )
         self.crash_guard = CrashGuard(
             quarantine_sync=self.gossip.quarantine_sync,
-            tracker=RunTracker(self.http.reach, self.table, self.log, steady_now),
+            tracker=RunTracker(self.http.try_connect, self.table, self.log, steady_now),
             table=self.table,
             turn=self.gossip.turn_of,
             list_at=lambda: self.publication.list_at,
@@ -213,7 +213,7 @@
             notice_handler=self.notice_handler,
             send_checks=guards,
             crash_guard=self.crash_guard,
-            identity_key=make_key(settings.identity_key),
+            identity_key=derive_key(settings.identity_key),
             admission_state=self.admission_state,
             instance_count=self._sharers,
             retry_bounds=self._retry_bounds,
@@ -404,5 +404,5 @@
         """The settings file is faulty: the ones in force stay."""
         self.log.write(Reloaded(outcome="refused", reason=reason))
 
-    async def _show_ready(self, incoming: Incoming, reply: Reply) -> None:
+    async def _show_ready(self, incoming: IncomingRequest, reply: Reply) -> None:
         reply.send(200 if self.ready else 503, {}, b"")
--- a/pondpin/relay/lazy_components.py
+++ b/pondpin/relay/lazy_components.py
@@ -145,11 +145,15 @@
     def upstreams_due_for_recheck(self) -> list[UpstreamState]:
         """Those that take nothing at all, and are to be asked now whether they still do."""
         table = self._gossip.table
-        return self._gossip.limits.issuer.due_for_recheck() if table.standings.names_limits else []
+        return (
+            self._gossip.limits.issuer.due_for_recheck()
+            if table.standings.any_limit_reported
+            else []
+        )
 
     def expire(self) -> None:
         """What is kept for a while only is dropped."""
-        if self._gossip.table.standings.names_limits:
+        if self._gossip.table.standings.any_limit_reported:
             self._gossip.limits.issuer.expire()
 
     async def wait_released(self) -> None:
--- a/pondpin/relay/operator_api.py
+++ b/pondpin/relay/operator_api.py
@@ -9,8 +9,8 @@
 from pondpin.clocks import Clock
 from pondpin.codes import Code
 from pondpin.errors import PondpinError
-from pondpin.http_reply import Incoming, Reply
-from pondpin.limits import told_limit
+from pondpin.http_reply import IncomingRequest, Reply
+from pondpin.limits import limit_number
 from pondpin.metrics import Metrics
 from pondpin.quarantine import Verdict
 from pondpin.relay.attempts.crash_guard import CrashGuard
@@ -18,7 +18,7 @@
 from pondpin.relay.published.publication import Publication
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.table import UpstreamTable
-from pondpin.request_identity import show
+from pondpin.request_identity import format_identity
 
 if TYPE_CHECKING:
     from pondpin.relay.peers.permit_issuer import PermitIssuer
@@ -101,7 +101,7 @@
 def held_requests(guard: CrashGuard) -> tuple[HeldRequest, ...]:
     """The requests that are suspected or quarantined."""
     return tuple(
-        HeldRequest(show(identity), judgement.verdict.value, told, seconds)
+        HeldRequest(format_identity(identity), judgement.verdict.value, told, seconds)
         for identity in guard.quarantine.ends_by_identity
         for judgement, told, seconds in (guard.records.describe(identity),)
         if judgement.verdict is not Verdict.FREE
@@ -147,7 +147,7 @@
         round(age, 2),
         round(left, 2),
         state.own_in_flight,
-        told_limit(state.standing.limit),
+        limit_number(state.standing.limit),
         "" if home is None else home.instance,
         0.0 if home is None else round(home.share, 3),
     )
@@ -160,8 +160,8 @@
         return "leaves", standing.leaving.source, now - standing.leaving.at, -1.0
     bar = state.bar(now)
     if bar and standing.rest is not None:
-        left = max(0.0, standing.rest.back_at - now)
-        return bar.value, "its answer", now - standing.rest.asked_at, left
+        left = max(0.0, standing.rest.resume_at - now)
+        return bar.value, "its answer", now - standing.rest.received_at, left
     if health.is_ejected(now):
         return "ejected", "attempts here", -1.0, health.ejected_until - now
     if state.needs_probe:
@@ -175,7 +175,7 @@
     word = state.standing.limit
     if word is None or word.limit is None:
         return "takes requests", "", -1.0, -1.0
-    return "takes some by permit", word.source, now - word.heard_at, -1.0
+    return "takes some by permit", word.source, now - word.received_at, -1.0
 
 
 @dataclass
@@ -189,7 +189,7 @@
     permit_issuer: PermitIssuerSource
     clock: Clock
 
-    async def handle(self, incoming: Incoming, reply: Reply) -> None:
+    async def handle(self, incoming: IncomingRequest, reply: Reply) -> None:
         """Answer a call by its path."""
         if incoming.path.startswith(QUARANTINE_PATH):
             self._show_or_lift(incoming, reply)
@@ -202,7 +202,7 @@
         else:
             self._show_metrics(incoming, reply)
 
-    def _show_metrics(self, incoming: Incoming, reply: Reply) -> None:
+    def _show_metrics(self, incoming: IncomingRequest, reply: Reply) -> None:
         states, now, metrics = self.table.by_id.values(), self.clock(), self.metrics
         metrics.upstreams_leaving.set({}, sum(state.leaving for state in states))
         metrics.upstreams_resting.set({}, sum(_is_resting(state, now) for state in states))
@@ -215,11 +215,11 @@
         for state in limited:
             labels = {"upstream": state.id}
             desk = self.permit_issuer()
-            self.metrics.upstream_limit.set(labels, told_limit(state.standing.limit))
+            self.metrics.upstream_limit.set(labels, limit_number(state.standing.limit))
             rate = desk.rate(state) if desk.is_owner(state) else 0.0
             self.metrics.upstream_permits.set(labels, rate)
 
-    def _show_or_lift(self, incoming: Incoming, reply: Reply) -> None:
+    def _show_or_lift(self, incoming: IncomingRequest, reply: Reply) -> None:
         if incoming.method == "GET":
             reply.send_json(HeldRequests(held_requests(self.guard)))
             return
@@ -235,4 +235,4 @@
 
 def _is_resting(state: UpstreamState, now: float) -> bool:
     rest = state.standing.rest
-    return rest is not None and now < rest.back_at
+    return rest is not None and now < rest.resume_at
--- a/pondpin/relay/peers/gossip.py
+++ b/pondpin/relay/peers/gossip.py
@@ -12,7 +12,7 @@
 from pondpin.clocks import Clock
 from pondpin.datagrams import DatagramPort, DatagramSocket
 from pondpin.network import Endpoint
-from pondpin.quarantine import Quarantine, turn_of
+from pondpin.quarantine import Quarantine, compute_trial_rank
 from pondpin.relay.choosing.prefill_queue import PrefillQueue
 from pondpin.relay.log import EventLog
 from pondpin.relay.log_events import (
@@ -137,7 +137,7 @@
 
     def turn_of(self, identity: int) -> int:
         """This instance's place among the live ones in a request's order."""
-        return turn_of(identity, self.instance, self._alive)
+        return compute_trial_rank(identity, self.instance, self._alive)
 
     def count_reporting_peers(self) -> int:
         """Peers whose digests tell of their work: in a large fleet those of the data centre."""
--- a/pondpin/relay/peers/limit_messages.py
+++ b/pondpin/relay/peers/limit_messages.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from pondpin.limits import LimitWord, told_limit
+from pondpin.limits import LimitReport, limit_number
 from pondpin.relay.peers.digests import LimitDigest
 from pondpin.relay.upstreams.table import UpstreamTable
 
@@ -50,24 +50,24 @@
     table: UpstreamTable, lives: Iterable[int], now: float
 ) -> tuple[LimitDigest, ...]:
     """The words on some lives as they are told."""
-    words = [(life, table.standings.of(life).limit) for life in lives]
+    words = [(life, table.standings.get_or_create(life).limit) for life in lives]
     return tuple(
         LimitDigest(
             life,
-            told_limit(word),
-            round((now - word.asked_at) * MILLISECONDS),
-            round((now - word.heard_at) * MILLISECONDS),
+            limit_number(word),
+            round((now - word.request_sent_at) * MILLISECONDS),
+            round((now - word.received_at) * MILLISECONDS),
         )
         for life, word in words
         if word is not None
     )
 
 
-def to_limit_word(told: LimitDigest, source: str, now: float) -> LimitWord | None:
+def to_limit_word(told: LimitDigest, source: str, now: float) -> LimitReport | None:
     """What was told a moment ago; None for what is no limit."""
     if not (told.limit >= 0 or told.limit == -1) or told.asked_age < told.heard_age:
         return None
-    return LimitWord(
+    return LimitReport(
         None if told.limit < 0 else told.limit,
         now - told.asked_age / MILLISECONDS,
         now - told.heard_age / MILLISECONDS,
@@ -81,7 +81,7 @@
         state.life
         for state in table.by_id.values()
         if state.standing.limit is not None
-        and (state.is_limited or now - state.standing.limit.heard_at < LIFTED_TOLD_SECONDS)
+        and (state.is_limited or now - state.standing.limit.received_at < LIFTED_TOLD_SECONDS)
     ]
     if len(lives) <= LIMITS_TOLD:
         return lives
--- a/pondpin/relay/peers/limit_sync.py
+++ b/pondpin/relay/peers/limit_sync.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Collection, Iterable
 from dataclasses import dataclass
 
-from pondpin.limits import LimitWord, hear_limit, told_limit
+from pondpin.limits import LimitReport, apply_limit, limit_number
 from pondpin.relay.limit_events import UpstreamLimit
 from pondpin.relay.log import EventLog
 from pondpin.relay.peers.digests import LimitDigest
@@ -59,15 +59,15 @@
             if word is not None:
                 self._take(told.life, word, now)
 
-    def _take(self, life: int, word: LimitWord, now: float) -> None:
-        standing = self.table.standings.of(life)
-        before = told_limit(standing.limit)
-        if hear_limit(self.table.standings, life, word, now):
+    def _take(self, life: int, word: LimitReport, now: float) -> None:
+        standing = self.table.standings.get_or_create(life)
+        before = limit_number(standing.limit)
+        if apply_limit(self.table.standings, life, word, now):
             self.log.write(
                 UpstreamLimit(
                     upstream=self.table.label_of(life),
                     life=f"{life:x}",
-                    limit=told_limit(standing.limit),
+                    limit=limit_number(standing.limit),
                     before=before,
                     source=word.source,
                 )
--- a/pondpin/relay/peers/permit_broker.py
+++ b/pondpin/relay/peers/permit_broker.py
@@ -224,7 +224,7 @@
         if permit is None:
             answer = self._no(ask, states)
         else:
-            wait = round((permit.at - self.clock()) * MILLISECONDS)
+            wait = round((permit.valid_from - self.clock()) * MILLISECONDS)
             answer = PermitAnswer(ask.number, permit.life, wait)
         self._send(PermitMessage(PERMITS_FORMAT, answer=answer), ask.host)
 
--- a/pondpin/relay/peers/permit_issuer.py
+++ b/pondpin/relay/peers/permit_issuer.py
@@ -13,8 +13,8 @@
 import xxhash
 
 from pondpin.clocks import Clock
-from pondpin.limits import told_limit
-from pondpin.pace import Pace, Permit, gap_of
+from pondpin.limits import limit_number
+from pondpin.pace import Pacer, Permit, permit_interval
 from pondpin.relay.limit_events import PermitOwnerChanged
 from pondpin.relay.log import EventLog
 from pondpin.relay.upstreams.state import UpstreamState
@@ -84,7 +84,7 @@
     is_settled: Callable[[], bool]
     log: EventLog
     clock: Clock
-    pace_by_life: dict[int, Pace] = field(default_factory=dict)
+    pace_by_life: dict[int, Pacer] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         """Set up what is looked up."""
@@ -112,7 +112,7 @@
         self.log.write(
             PermitOwnerChanged(
                 upstream=state.id,
-                limit=told_limit(state.standing.limit),
+                limit=limit_number(state.standing.limit),
                 home=home.instance,
                 share=round(home.share, 3),
             )
@@ -146,12 +146,12 @@
         if not self.is_owner(state) or not self.is_settled():
             return False
         rate = self.rate(state)
-        return rate > 0 and self.clock() >= self._pace(state).due + gap_of(rate)
+        return rate > 0 and self.clock() >= self._pace(state).due + permit_interval(rate)
 
     def available_at(self, states: Iterable[UpstreamState]) -> float:
         """When the first permit of some upstreams can be had here; infinite for none."""
         now = self.clock()
-        moments = [self._pace(state).free_at(now) for state in self._own(states)]
+        moments = [self._pace(state).available_at(now) for state in self._own(states)]
         return min(moments, default=float("inf"))
 
     def issue(self, states: Iterable[UpstreamState], longest: float) -> Permit | None:
@@ -163,18 +163,18 @@
         own = self._own(states)
         if not own:
             return None
-        first = min(own, key=lambda state: self._pace(state).free_at(now))
-        at = self._pace(first).free_at(now)
+        first = min(own, key=lambda state: self._pace(state).available_at(now))
+        at = self._pace(first).available_at(now)
         if at - now > longest:
             return None
-        self._pace(first).take(self.rate(first), at)
+        self._pace(first).issue(self.rate(first), at)
         return Permit(first.life, at, at + PERMIT_VALID_SECONDS)
 
     def use_spare(self, state: UpstreamState) -> bool:
         """Spend a spare permit now."""
         if not self.has_spare(state):
             return False
-        self._pace(state).take(self.rate(state), self.clock())
+        self._pace(state).issue(self.rate(state), self.clock())
         return True
 
     def record_use(self, life: int, spent: bool) -> None:
@@ -186,9 +186,9 @@
         if rate <= 0:
             return
         if spent:
-            self._pace(state).take(rate, self.clock())
+            self._pace(state).issue(rate, self.clock())
         else:
-            self._pace(state).give_back(rate)
+            self._pace(state).release(rate)
 
     def due_for_recheck(self) -> list[UpstreamState]:
         """Those that take nothing at all, and are to be asked now whether they still do: no request
@@ -203,8 +203,8 @@
         word = state.standing.limit
         if word is None or word.limit != 0 or state.bar(now) or not self.is_owner(state):
             return False
-        asked_at = self._checked_at_by_life.get(state.life, word.heard_at)
-        return now - max(word.heard_at, asked_at) >= SHUT_CHECK_SECONDS
+        asked_at = self._checked_at_by_life.get(state.life, word.received_at)
+        return now - max(word.received_at, asked_at) >= SHUT_CHECK_SECONDS
 
     def expire(self) -> None:
         """Drop what belongs to lives that name no limit any more."""
@@ -224,7 +224,7 @@
             return []
         return [state for state in states if self.is_owner(state) and self.rate(state) > 0]
 
-    def _pace(self, state: UpstreamState) -> Pace:
+    def _pace(self, state: UpstreamState) -> Pacer:
         """The pace of a life; another limit, or a new home, begins with none saved up, and behind
         what was handed out ahead of time.
         """
@@ -232,10 +232,10 @@
         if known is not None and self._limit_by_life.get(state.life) == limit:
             return known
         rate, now = self.rate(state), self.clock()
-        pace = Pace.begin(rate, now)
+        pace = Pacer.begin(rate, now)
         if known is not None:
             share = self.owner(state).share
-            pace.follow(known, self._limit_by_life.get(state.life, limit) * share, rate, now)
+            pace.inherit(known, self._limit_by_life.get(state.life, limit) * share, rate, now)
         self.pace_by_life[state.life] = pace
         self._limit_by_life[state.life] = limit
         return pace
--- a/pondpin/relay/peers/quarantine_sync.py
+++ b/pondpin/relay/peers/quarantine_sync.py
@@ -12,7 +12,7 @@
 
 from pondpin.clocks import Clock
 from pondpin.quarantine import NamedEnd, Quarantine
-from pondpin.quarantine_messages import EndTold, heard_end, tell_end
+from pondpin.quarantine_messages import EndReport, build_report, parse_report
 from pondpin.relay.peers.digest_fields import LastMessage
 from pondpin.relay.peers.digests import Digest
 
@@ -35,7 +35,7 @@
     instance: str
     boot: int
     sequence: int
-    ends: tuple[EndTold, ...]
+    ends: tuple[EndReport, ...]
     running: tuple[tuple[int, int], ...]
 
 
@@ -95,7 +95,7 @@
                     self.instance,
                     self.boot,
                     self.sequence,
-                    tuple(tell_end(item, now) for item in part),
+                    tuple(build_report(item, now) for item in part),
                     tuple(self.running_by_identity.items()),
                 )
             )
@@ -115,8 +115,8 @@
 
     def _take(self, told: QuarantineMessage, now: float) -> None:
         self.is_synced = True
-        ends = [heard_end(item, told.instance, now) for item in told.ends]
-        better = self.quarantine.take(ends, now)
+        ends = [parse_report(item, told.instance, now) for item in told.ends]
+        better = self.quarantine.merge_ends(ends, now)
         last = self._last_by_peer.get(told.instance)
         if last is None or told.sequence > last.last_sequence(told.boot):
             self._last_by_peer[told.instance] = LastMessage(told.boot, told.sequence)
@@ -136,16 +136,16 @@
 
     def sync_peer(self, digest: Digest, now: float) -> None:
         """A peer's digest came: send it what it seems to lack, at once if it has just started."""
-        if digest.quarantine_tag == self.quarantine.tag:
+        if digest.quarantine_tag == self.quarantine.fingerprint:
             self.is_synced = True
             return
-        if not self.quarantine.tag:
+        if not self.quarantine.fingerprint:
             return
         life = (digest.host, digest.boot)
         if now - self._synced_at_by_life.get(life, float("-inf")) < SYNC_SECONDS:
             return
         self._synced_at_by_life[life] = now
-        for data in self._encode_messages(self.quarantine.most_telling(ENDS_TO_SYNC)):
+        for data in self._encode_messages(self.quarantine.top_ends(ENDS_TO_SYNC)):
             self._send(data, digest.host)
 
     def expire(self, now: float) -> None:
--- a/pondpin/relay/publication_handler.py
+++ b/pondpin/relay/publication_handler.py
@@ -42,7 +42,7 @@
     def apply_configuration(self, configuration: RelayConfiguration) -> None:
         """A configuration is in force."""
         self.caller_server.limits = caller_limits(self.memory_mebibytes(), configuration)
-        self.caller_server.set_idle(self.caller_server.limits.idle_seconds)
+        self.caller_server.set_idle_timeout(self.caller_server.limits.idle_seconds)
         self.metrics.revision.set({}, configuration.version)
         # Since when it was known to be missing.
         heard_at = self.publication.newer_seen_at
--- a/pondpin/relay/published/document_server.py
+++ b/pondpin/relay/published/document_server.py
@@ -3,7 +3,7 @@
 from pondpin.clocks import Clock
 from pondpin.codes import Code
 from pondpin.errors import PondpinError
-from pondpin.http_reply import Incoming, Reply
+from pondpin.http_reply import IncomingRequest, Reply
 from pondpin.relay.published.documents import (
     Document,
     DocumentKind,
@@ -66,7 +66,7 @@
         self._shelf = PackedDocumentCache()
         self._slots = TransferSlots()
 
-    async def handle(self, incoming: Incoming, reply: Reply) -> None:
+    async def handle(self, incoming: IncomingRequest, reply: Reply) -> None:
         """Send the next piece of a document; a body that is no request is refused."""
         try:
             request = decode_request(incoming.body)
--- a/pondpin/relay/upstreams/limit_handler.py
+++ b/pondpin/relay/upstreams/limit_handler.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from pondpin.limits import LimitWord, hear_limit, told_limit
+from pondpin.limits import LimitReport, apply_limit, limit_number
 from pondpin.notices import Notice
 from pondpin.relay.limit_events import UnknownUpstreamHeader, UpstreamLimit
 from pondpin.relay.log import EventLog
@@ -45,33 +45,35 @@
         shows whether that was right.
         """
         notice = said.notice
-        if notice.odd_limit and self._is_news(life, f"limit {notice.odd_limit}"):
-            standing = self._table.standings.of(life)
-            self._tell_limit(life, told_limit(standing.limit), asked.purpose, notice.odd_limit)
+        if notice.invalid_limit and self._is_news(life, f"limit {notice.invalid_limit}"):
+            standing = self._table.standings.get_or_create(life)
+            self._tell_limit(
+                life, limit_number(standing.limit), asked.purpose, notice.invalid_limit
+            )
         if notice.limit is None and not self._may_lift(life, asked, notice):
             return
-        before = told_limit(self._table.standings.of(life).limit)
-        word = LimitWord(notice.limit, asked.sent_at, now, ANSWER_SOURCE)
-        if hear_limit(self._table.standings, life, word, now):
+        before = limit_number(self._table.standings.get_or_create(life).limit)
+        word = LimitReport(notice.limit, asked.sent_at, now, ANSWER_SOURCE)
+        if apply_limit(self._table.standings, life, word, now):
             self._tell_limit(life, before, asked.purpose)
             self._tell_peers(life, now)
 
     def _may_lift(self, life: int, asked: SentRequest, notice: Notice) -> bool:
         """Whether an answer that names no limit proves that none holds any more."""
         known = self._table.standings.by_life.get(life)
-        if notice.odd_limit or known is None or known.limit is None:
+        if notice.invalid_limit or known is None or known.limit is None:
             return False
         if asked.purpose == REQUEST:
             return True
         return asked.purpose == LIVENESS_CHECK and known.limit.limit == 0
 
     def _tell_limit(self, life: int, before: float, answer: str, odd: str = "") -> None:
-        word = self._table.standings.of(life).limit
+        word = self._table.standings.get_or_create(life).limit
         self._log.write(
             UpstreamLimit(
                 upstream=self._table.label_of(life),
                 life=f"{life:x}",
-                limit=told_limit(word),
+                limit=limit_number(word),
                 before=before,
                 source=ANSWER_SOURCE if word is None else word.source,
                 answer=answer,
--- a/pondpin/relay/upstreams/notice_handler.py
+++ b/pondpin/relay/upstreams/notice_handler.py
@@ -78,21 +78,21 @@
         notice = said.notice
         if self._is_of_limits(said):
             self._limit_hearing().handle_head(life, asked, said, now)
-        if not (notice.leaves or notice.rest or notice.odd):
+        if not (notice.is_leaving or notice.rest or notice.invalid_rest):
             return
-        if not self._table.standings.hear(life, notice, ANSWER_SOURCE, now):
+        if not self._table.standings.apply_notice(life, notice, ANSWER_SOURCE, now):
             return
         if notice.rest > 0:
-            self._metrics.rests_asked.inc({})
+            self._metrics.rests_requested.inc({})
         self._tell(life, said, asked.purpose, now)
-        if notice.leaves:
+        if notice.is_leaving:
             self.record_leaving(life, ANSWER_SOURCE, now)
 
     def _is_of_limits(self, said: ResponseHead) -> bool:
         """Whether an answer says anything of limits, also by naming none, or an unknown word."""
         notice = said.notice
-        names_one = notice.limit is not None or bool(notice.odd_limit)
-        return names_one or bool(said.unknown_headers) or self._table.standings.names_limits
+        names_one = notice.limit is not None or bool(notice.invalid_limit)
+        return names_one or bool(said.unknown_headers) or self._table.standings.any_limit_reported
 
     def _limit_hearing(self) -> "LimitHandler":
         """Loaded where an upstream says anything of it, which few ever do."""
@@ -118,7 +118,7 @@
     def _tell(self, life: int, said: ResponseHead, answer: str, now: float) -> None:
         state = self._table.by_life(life)
         list_at = self._list_at()
-        rest = self._table.standings.of(life).rest
+        rest = self._table.standings.get_or_create(life).rest
         self._log.write(
             UpstreamNotice(
                 upstream=self._table.label_of(life),
@@ -127,9 +127,9 @@
                 status=said.status,
                 list_says="nothing" if state is None else LISTED_AS[state.listed.leaving],
                 list_age=-1.0 if list_at is None else round(now - list_at, 3),
-                leaves=said.notice.leaves,
+                leaves=said.notice.is_leaving,
                 rest=min(LONGEST_TOLD, said.notice.rest),
                 until=0.0 if rest is None else round(min(LONGEST_TOLD, rest.until), 3),
-                odd=said.notice.odd[:MAX_LOGGED_CHARACTERS],
+                odd=said.notice.invalid_rest[:MAX_LOGGED_CHARACTERS],
             )
         )
--- a/pondpin/relay/upstreams/probe.py
+++ b/pondpin/relay/upstreams/probe.py
@@ -9,7 +9,7 @@
 from pondpin.relay.published.publication import Publication
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.table import UpstreamTable
-from pondpin.standing import Bar
+from pondpin.standing import BlockReason
 
 if TYPE_CHECKING:
     from pondpin.relay.upstreams.prober import Prober
@@ -51,5 +51,5 @@
 
 def is_probe_due(state: UpstreamState, now: float) -> bool:
     """Whether an ejected upstream may be probed."""
-    is_silent = state.bar(now) in (Bar.LEAVES, Bar.RESTS)
+    is_silent = state.bar(now) in (BlockReason.LEAVING, BlockReason.RESTING)
     return state.needs_probe and not is_silent and not state.health.is_ejected(now)
--- a/pondpin/relay/upstreams/prober.py
+++ b/pondpin/relay/upstreams/prober.py
@@ -13,7 +13,7 @@
 from pondpin.relay.upstreams.notice_handler import LIVENESS_CHECK, HeadHandler, SentRequest
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.table import UpstreamTable
-from pondpin.standing import Bar
+from pondpin.standing import BlockReason
 
 # A check waits for a slot like a request; a worker that takes longer is still not well.
 PROBE_SECONDS = 0.5
@@ -54,6 +54,6 @@
         if passed:
             state.record_probe_passed()
             self.log.write(UpstreamRestored(upstream=state.id))
-        elif state.needs_probe and state.bar(self.clock()) is Bar.NONE:
+        elif state.needs_probe and state.bar(self.clock()) is BlockReason.NONE:
             # One that leaves or asked for rest is not ill.
             self.table.record_failure(state, self.clock(), certain=True)
--- a/pondpin/relay/upstreams/reports.py
+++ b/pondpin/relay/upstreams/reports.py
@@ -11,7 +11,7 @@
 from pondpin.relay.ports import ReportPort
 from pondpin.relay.upstreams.notice_handler import HeadHandler, SentRequest, ignore_head
 from pondpin.relay.upstreams.state import UpstreamState
-from pondpin.standing import Bar
+from pondpin.standing import BlockReason
 
 # A report takes no slot and is sent at once: a way there and back takes a few ms, a lost
 # packet is sent again after a quarter of a second or so.
@@ -44,7 +44,7 @@
 
         One that asked for rest is not asked: it spoke, and wants nothing until its rest is over.
         """
-        if state.bar(self._clock()) is Bar.RESTS:
+        if state.bar(self._clock()) is BlockReason.RESTING:
             return True
         if self._clock() - state.report_at < REPORT_CACHE_SECONDS:
             return True
--- a/pondpin/relay/upstreams/restarts.py
+++ b/pondpin/relay/upstreams/restarts.py
@@ -14,7 +14,7 @@
 ) -> None:
     """Drop idle connections of the earlier life, which may have crashed silently."""
     for listed in (restart.earlier, restart.later):
-        http.drop_idle(listed.host, listed.port)
+        http.close_idle(listed.host, listed.port)
     _inherit_rest(restart, table, now)
     later = restart.later
     log.write(UpstreamRestarted(upstream=later.id, born=later.born))
@@ -29,5 +29,8 @@
         return
     age = wall_now() - born / MILLISECONDS
     standings = table.standings
-    earlier, later = standings.of(restart.earlier.life), standings.of(restart.later.life)
+    earlier, later = (
+        standings.get_or_create(restart.earlier.life),
+        standings.get_or_create(restart.later.life),
+    )
     later.inherit_rest(earlier, now - age)
--- a/pondpin/relay/upstreams/state.py
+++ b/pondpin/relay/upstreams/state.py
@@ -6,7 +6,7 @@
 
 import xxhash
 
-from pondpin.health import Health, note_success
+from pondpin.health import Health, record_success
 from pondpin.relay.model import EngineReport, ListedUpstream, Load
 from pondpin.relay.upstreams.forecast import DecodeStreams, EngineLoad, PendingPrefill
 from pondpin.relay.upstreams.work import (
@@ -22,7 +22,7 @@
     long_prefills_end,
     prefills_end,
 )
-from pondpin.standing import Bar, Standing
+from pondpin.standing import Availability, BlockReason
 
 if TYPE_CHECKING:
     from pondpin.relay.upstreams.long_prefills import ReceivedPrefill
@@ -70,7 +70,7 @@
     listed: ListedUpstream
     order: int = 0
     # What its life said of itself; other states of the same life share it.
-    standing: Standing = field(default_factory=Standing)
+    standing: Availability = field(default_factory=Availability)
     ended: bool = False
     detects_silence: bool = True
     health: Health = field(default_factory=Health)
@@ -115,9 +115,11 @@
         word = self.standing.limit
         return -1.0 if word is None or word.limit is None else word.limit
 
-    def bar(self, now: float) -> Bar:
+    def bar(self, now: float) -> BlockReason:
         """Why nothing new may be sent there by its own word, or the list's that it leaves."""
-        return self.standing.bar(now, self.own_in_flight if self.standing.rest is not None else 0)
+        return self.standing.block_reason(
+            now, self.own_in_flight if self.standing.rest is not None else 0
+        )
 
     def is_usable(self, now: float) -> bool:
         """Whether new work may go there."""
@@ -245,7 +247,7 @@
 
     def record_success(self, now: float) -> None:
         """It answered."""
-        self.health = note_success(self.health, now)
+        self.health = record_success(self.health, now)
         self.failure_rate = self.failure_rate.record(False, now)
 
     def record_probe_passed(self) -> None:
--- a/pondpin/relay/upstreams/table.py
+++ b/pondpin/relay/upstreams/table.py
@@ -7,13 +7,13 @@
 
 import xxhash
 
-from pondpin.health import note_failure
+from pondpin.health import record_failure
 from pondpin.relay.mechanisms import Mechanism
 from pondpin.relay.model import ListedUpstream, life_of
 from pondpin.relay.upstreams.data_center_loads import DataCenterLoad, DataCenterLoads
 from pondpin.relay.upstreams.state import FAILING_RATE, UpstreamState, release_id
 from pondpin.relay.upstreams.work import PeerWork, WorkDigest
-from pondpin.standing import KEPT_LIVES, Standings
+from pondpin.standing import MAX_LIVES, AvailabilityTable
 
 if TYPE_CHECKING:
     from pondpin.relay.upstreams.long_prefills import LongPrefill
@@ -65,7 +65,9 @@
         self._left: dict[int, None] = {}
         # The listed ones of them as they are told, None when that is to be worked out anew.
         self._leaving_told: tuple[int, ...] | None = None
-        self.standings: Standings[int] = Standings(lambda life: life in self._by_life)
+        self.standings: AvailabilityTable[int] = AvailabilityTable(
+            lambda life: life in self._by_life
+        )
         self.silent_data_centers: frozenset[str] = frozenset()
         # In a large fleet only the peers of the own data centre tell of their work.
         self.all_peers_report_work = True
@@ -115,7 +117,7 @@
         state = UpstreamState(
             item,
             order,
-            self.standings.of(item.life),
+            self.standings.get_or_create(item.life),
             detects_silence=Mechanism.SILENCE not in self._without,
         )
         self.by_id[item.id] = state
@@ -128,12 +130,12 @@
         It holds for the life whatever its entry says or becomes. A life that doesn't say when it
         began goes by its id.
         """
-        self.standings.of(life).note_leaving(source, now)
+        self.standings.get_or_create(life).record_leaving(source, now)
         if life in self._left:
             return False
         self._left[life] = None
         self._leaving_told = None
-        if len(self._left) > KEPT_LIVES:
+        if len(self._left) > MAX_LIVES:
             del self._left[next(iter(self._left))]
         return True
 
@@ -209,7 +211,7 @@
         present = [
             item
             for item in self.of_service(service)
-            if item.standing.is_blank
+            if item.standing.is_empty
             or (not item.bar(now) and (not item.is_limited or may_take(item)))
         ]
         fresh = [item for item in present if item.life not in tried] if tried else present
@@ -320,7 +322,7 @@
         if Mechanism.EJECTION in self._without:
             return False
         before = state.health.ejections
-        state.health = note_failure(state.health, now, certain)
+        state.health = record_failure(state.health, now, certain)
         ejected = state.health.ejections > before
         state.needs_probe = state.needs_probe or ejected
         return ejected
--- a/pondpin/relay_settings.py
+++ b/pondpin/relay_settings.py
@@ -28,7 +28,7 @@
     ports: Annotated[tuple[int, ...], Meta(min_length=1)]
 
     @property
-    def names_others(self) -> bool:
+    def has_remote_peers(self) -> bool:
         """Whether the settings name instances on other hosts."""
         own = parse_endpoint(self.documents).host
         return any(parse_endpoint(address).host != own for address in self.known)
--- a/pondpin/request_identity.py
+++ b/pondpin/request_identity.py
@@ -11,7 +11,7 @@
 DIGEST_BYTES = 8
 
 
-def make_key(secret: str) -> bytes:
+def derive_key(secret: str) -> bytes:
     """The key of identities from a text of any length."""
     return hashlib.sha256(secret.encode()).digest()
 
@@ -29,6 +29,6 @@
     return int.from_bytes(digest.digest(), "big")
 
 
-def show(identity: int) -> str:
+def format_identity(identity: int) -> str:
     """An identity as 16 hexadecimal digits, as logs show it and commands take it."""
     return f"{identity:016x}"
--- a/pondpin/resumes.py
+++ b/pondpin/resumes.py
@@ -12,7 +12,7 @@
 from pondpin.errors import PondpinError
 from pondpin.fleet import Fleet, UpstreamState
 from pondpin.frames import FrameGate
-from pondpin.http_reply import Incoming, Reply
+from pondpin.http_reply import IncomingRequest, Reply
 from pondpin.http_streams import CallFailedError
 from pondpin.signing import Signer
 from pondpin.stream_attempt import StreamAttempt, Watchdog
@@ -45,7 +45,7 @@
         self._stall_floor = stall_floor
 
     async def resume(
-        self, incoming: Incoming, reply: Reply, snapshot: Snapshot, account: str
+        self, incoming: IncomingRequest, reply: Reply, snapshot: Snapshot, account: str
     ) -> None:
         """Send the rest of a stream; raises PondpinError before anything is sent."""
         cursor = read_cursor(self._signer, incoming.headers.get(CURSOR_HEADER, ""))
@@ -88,13 +88,13 @@
             code = Code.STREAM_GONE if start.status == GONE else Code.UPSTREAM_REFUSED
             raise PondpinError(code, ran=Ran.UNKNOWN)
         attempt.stream = start.deliver(attempt)
-        reply.on_gone = lambda: attempt.fail(Failure.BROKEN)
+        reply.on_disconnect = lambda: attempt.fail(Failure.BROKEN)
         self._watchdog.add(attempt)
-        reply.follow(attempt)
+        reply.attach_source(attempt)
         try:
             result = await attempt.done
         finally:
-            reply.unfollow()
+            reply.detach_source()
             self._watchdog.remove(attempt)
         if result.failure is None:
             writer.finish(result.end)
--- a/pondpin/runtime.py
+++ b/pondpin/runtime.py
@@ -124,13 +124,13 @@
         result = fire.Fire(command, command=arguments, name=name, serialize=lambda _: None)
     except FireExit as error:
         sys.exit(error.code)
-    if not isinstance(result, Ready):
+    if not isinstance(result, ParsedCommand):
         print(f"{name}: incomplete command; see {name} --help", file=sys.stderr)
         sys.exit(USAGE_STATUS)
     sys.exit(result.start())
 
 
-class Ready:
+class ParsedCommand:
     """A command whose arguments were all taken, ready to start."""
 
     __slots__ = ("start",)
--- a/pondpin/service_choice.py
+++ b/pondpin/service_choice.py
@@ -12,13 +12,15 @@
 
     id: str
     open_calls: int
-    reported: int
-    local: bool
+    reported_calls: int
+    is_local: bool
 
 
 def choose_service(views: Sequence[ServiceView]) -> ServiceView:
     """The one with the fewest open calls; local ones first among equals."""
-    return min(views, key=lambda view: (view.open_calls + view.reported, not view.local, view.id))
+    return min(
+        views, key=lambda view: (view.open_calls + view.reported_calls, not view.is_local, view.id)
+    )
 
 
 def pin_upstream(key: str, configured: Sequence[str]) -> str:
--- a/pondpin/service_client.py
+++ b/pondpin/service_client.py
@@ -7,8 +7,8 @@
 
 from pondpin.calls import WholeAnswer
 from pondpin.http_client import HttpClient
-from pondpin.http_streams import CallFailedError, StreamStart
-from pondpin.state_header import HearAddress, ignore, notice_of
+from pondpin.http_streams import CallFailedError, StreamedResponse
+from pondpin.state_header import AddressNoticeHandler, ignore_notice, response_notice
 
 IDEMPOTENCY_HEADER = "idempotency-key"
 PASSED_HEADERS = ("content-type", "accept", IDEMPOTENCY_HEADER)
@@ -51,12 +51,12 @@
 class HttpServices:
     """ServicePort over HTTP."""
 
-    def __init__(self, client: HttpClient, hear: HearAddress = ignore) -> None:
+    def __init__(self, client: HttpClient, hear: AddressNoticeHandler = ignore_notice) -> None:
         self._client = client
         self._hear = hear
 
-    def _note(self, address: str, start: StreamStart) -> None:
-        self._hear(address, notice_of(start))
+    def _note(self, address: str, start: StreamedResponse) -> None:
+        self._hear(address, response_notice(start))
 
     async def send(
         self, address: str, call: ServiceCall, timeout: float, fresh: bool
--- a/pondpin/soak/run.py
+++ b/pondpin/soak/run.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from pondpin.http_streams import CallFailedError
-from pondpin.runtime import Ready, call_on_signal, run, run_command
+from pondpin.runtime import ParsedCommand, call_on_signal, run, run_command
 from pondpin.soak.breaking import ODD_NAME, Breaking
 from pondpin.soak.deadly import ROUTE_BY_BODY, DeadlyLoad
 from pondpin.soak.deployment import (
@@ -271,7 +271,7 @@
     plain: int = 3,
     place: int = 0,
     folder: str = "",
-) -> Ready:
+) -> ParsedCommand:
     """Play seeds from seed on; 0 draws a fresh one. Logs stay in the folder.
 
     Soaks that run at the same time need a place each, from 0 on.
@@ -296,7 +296,7 @@
         print(f"{seeds - failed} passed, {failed} failed", flush=True)
         return 1 if failed else 0
 
-    return Ready(lambda: run(play))
+    return ParsedCommand(lambda: run(play))
 
 
 def _cancel(playing: "asyncio.Future[int]") -> None:
--- a/pondpin/soak/standin.py
+++ b/pondpin/soak/standin.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from pondpin.http_reply import Incoming, Reply
+from pondpin.http_reply import IncomingRequest, Reply
 from pondpin.network import parse_endpoint
-from pondpin.runtime import Ready, run, run_command, stop_on_signals
+from pondpin.runtime import ParsedCommand, run, run_command, stop_on_signals
 from pondpin.standins.published_store import PublishedStore, StoreFault
 from pondpin.standins.store_state import StoreCopy
 from pondpin.standins.worker import Worker, WorkerFault
@@ -83,7 +83,7 @@
     others: tuple[tuple[float, ...], ...] = ()
 
 
-def store(address: str) -> Ready:
+def store(address: str) -> ParsedCommand:
     """Run a store."""
 
     async def serve(reactor: Any) -> int:
@@ -99,7 +99,7 @@
                     copies.append((time.monotonic(), standin.copy()))
                 await asyncio.sleep(COPY_SECONDS)
 
-        async def restore(incoming: Incoming, reply: Reply) -> None:
+        async def restore(incoming: IncomingRequest, reply: Reply) -> None:
             order = msgspec.json.decode(incoming.body, type=Restore)
             wanted = time.monotonic() - order.age
             standin.fail(StoreFault.RESET)
@@ -113,7 +113,7 @@
             back.set()
             reply.send_json({"epoch": standin.epoch})
 
-        async def put(incoming: Incoming, reply: Reply) -> None:
+        async def put(incoming: IncomingRequest, reply: Reply) -> None:
             await back.wait()
             item = msgspec.json.decode(incoming.body, type=Put)
             if item.value is None:
@@ -130,10 +130,10 @@
         copying.cancel()
         return 0
 
-    return Ready(lambda: run(serve))
+    return ParsedCommand(lambda: run(serve))
 
 
-def worker(address: str, name: str, events: int, event_ms: int) -> Ready:
+def worker(address: str, name: str, events: int, event_ms: int) -> ParsedCommand:
     """Run a worker."""
 
     async def serve(reactor: Any) -> int:
@@ -148,7 +148,7 @@
 
         standin.on_crash = lambda: loop.call_later(RETURN_SECONDS, come_back)
 
-        async def steer(incoming: Incoming, reply: Reply) -> None:
+        async def steer(incoming: IncomingRequest, reply: Reply) -> None:
             order = msgspec.json.decode(incoming.body, type=Steer)
             if order.born is not None:
                 reply.send_json({})
@@ -159,7 +159,7 @@
             standin.deadly = frozenset(body.encode() for body in order.deadly)
             reply.send_json({})
 
-        async def audit(incoming: Incoming, reply: Reply) -> None:
+        async def audit(incoming: IncomingRequest, reply: Reply) -> None:
             runs = dict(standin.runs_by_attempt)
             misdirected = dict(standin.misdirected_by_id)
             reply.send_json(
@@ -188,7 +188,7 @@
                 )
             )
 
-        async def say(incoming: Incoming, reply: Reply) -> None:
+        async def say(incoming: IncomingRequest, reply: Reply) -> None:
             wish = msgspec.json.decode(incoming.body, type=Say)
             standin.says_leaving, standin.rest = wish.leaves, wish.rest
             standin.limit = wish.limit
@@ -202,7 +202,7 @@
         await asyncio.sleep(0)
         return 0
 
-    return Ready(lambda: run(serve))
+    return ParsedCommand(lambda: run(serve))
 
 
 if __name__ == "__main__":
--- a/pondpin/standins/engine.py
+++ b/pondpin/standins/engine.py
@@ -21,10 +21,10 @@
     StreamRequest,
 )
 from pondpin.errors import PondpinError
-from pondpin.http_reply import JSON, Incoming, Reply
+from pondpin.http_reply import JSON, IncomingRequest, Reply
 from pondpin.http_server import ServerLimits, WebServer
 from pondpin.network import Endpoint, parse_endpoint
-from pondpin.runtime import Ready, run, run_command, steady_now, stop_on_signals, wall_now
+from pondpin.runtime import ParsedCommand, run, run_command, steady_now, stop_on_signals, wall_now
 from pondpin.standins.engine_model import (
     EngineModel,
     EngineShape,
@@ -136,7 +136,7 @@
             return
         self.deaths += 1
         self.die()
-        self.server.cut()
+        self.server.abort_connections()
         self.server.spawn(self._come_back())
 
     async def _come_back(self) -> None:
@@ -210,7 +210,7 @@
             return False
         return True
 
-    async def _streams(self, incoming: Incoming, reply: Reply) -> None:
+    async def _streams(self, incoming: IncomingRequest, reply: Reply) -> None:
         if not await self._gate(reply):
             return
         match incoming.method:
@@ -238,7 +238,7 @@
             raise PondpinError(Code.UNKNOWN_PATH)
         return StreamKey(parts[3], int(parts[4]))
 
-    def _submit(self, incoming: Incoming, reply: Reply) -> None:
+    def _submit(self, incoming: IncomingRequest, reply: Reply) -> None:
         if self.faults.drop_before > 0:
             self.faults.drop_before -= 1
             reply.abort()
@@ -296,7 +296,7 @@
         state = "leaving" if self.faults.says_leaving else self.state
         return {"pondpin-upstream-state": state} | self.faults.limit_header()
 
-    def _resume(self, incoming: Incoming, reply: Reply) -> None:
+    def _resume(self, incoming: IncomingRequest, reply: Reply) -> None:
         sequence = self.model.find(self._key_of(incoming.path))
         if sequence is None:
             self._send_json(reply, EngineError("no such stream"), 410)
@@ -312,7 +312,7 @@
             previous.abort()
         if not sequence.ended:
             self.replies_by_key[key] = reply
-            reply.on_gone = lambda: self._detach(key, reply)
+            reply.on_disconnect = lambda: self._detach(key, reply)
         for frame in list(sequence.frames):
             if frame.offset >= offset:
                 reply.write(encode_frame(frame))
@@ -324,7 +324,7 @@
         if self.replies_by_key.get(key) is reply:
             del self.replies_by_key[key]
 
-    async def _reservations(self, incoming: Incoming, reply: Reply) -> None:
+    async def _reservations(self, incoming: IncomingRequest, reply: Reply) -> None:
         if not await self._gate(reply):
             return
         if incoming.method == "DELETE":
@@ -340,11 +340,11 @@
         else:
             self._send_json(reply, EngineError("no room"), 409)
 
-    async def _load(self, incoming: Incoming, reply: Reply) -> None:
+    async def _load(self, incoming: IncomingRequest, reply: Reply) -> None:
         if await self._gate(reply):
             self._send_json(reply, self.report)
 
-    async def _cache_events(self, incoming: Incoming, reply: Reply) -> None:
+    async def _cache_events(self, incoming: IncomingRequest, reply: Reply) -> None:
         if not await self._gate(reply):
             return
         after = int(incoming.query.get("after", "0"))
@@ -355,7 +355,7 @@
         ]
         self._send_json(reply, CacheEvents(self.incarnation, tuple(kept[:5000])))
 
-    async def _kv(self, incoming: Incoming, reply: Reply) -> None:
+    async def _kv(self, incoming: IncomingRequest, reply: Reply) -> None:
         """Export the blocks of the prefix cache, or import some; importing takes time."""
         if not await self._gate(reply):
             return
@@ -366,7 +366,7 @@
         await asyncio.sleep(len(wanted) * self.options.kv_seconds_per_block)
         self._send_json(reply, KvBlocks(self.model.import_blocks(wanted, wall_now())))
 
-    async def _orders(self, incoming: Incoming, reply: Reply) -> None:
+    async def _orders(self, incoming: IncomingRequest, reply: Reply) -> None:
         if not await self._gate(reply):
             return
         if incoming.method == "GET":
@@ -390,16 +390,16 @@
         await asyncio.sleep(self.options.load_seconds)
         self.served_model = model
 
-    async def _set_faults(self, incoming: Incoming, reply: Reply) -> None:
+    async def _set_faults(self, incoming: IncomingRequest, reply: Reply) -> None:
         self.apply_faults(msgspec.json.decode(incoming.body, type=Faults))
         self._send_json(reply, self.faults)
 
-    async def _leave(self, incoming: Incoming, reply: Reply) -> None:
+    async def _leave(self, incoming: IncomingRequest, reply: Reply) -> None:
         self.state = "leaving"
         self.report = self._make_report()
         self._send_json(reply, {"state": self.state})
 
-    async def _audit(self, incoming: Incoming, reply: Reply) -> None:
+    async def _audit(self, incoming: IncomingRequest, reply: Reply) -> None:
         self._send_json(reply, self.audit())
 
     def audit(self) -> Audit:
@@ -449,7 +449,7 @@
     blocks: int = SHAPE.blocks,
     prefill_per_token: float = SHAPE.prefill_per_token,
     report_lag: float = 0.2,
-) -> Ready:
+) -> ParsedCommand:
     """Run a stand-in engine on IP:port that serves a model."""
     shape = EngineShape(blocks=blocks, prefill_per_token=prefill_per_token)
     options = EngineOptions(
@@ -465,7 +465,7 @@
         await served.stop()
         return 0
 
-    return Ready(lambda: run(work))
+    return ParsedCommand(lambda: run(work))
 
 
 def main() -> None:
--- a/pondpin/standins/health.py
+++ b/pondpin/standins/health.py
@@ -5,7 +5,7 @@
 from aioprometheus import Gauge, Registry
 from aioprometheus.renderer import render
 
-from pondpin.http_reply import Incoming, Reply
+from pondpin.http_reply import IncomingRequest, Reply
 from pondpin.http_server import WebServer
 
 TEXT = {"content-type": "text/plain"}
@@ -24,10 +24,10 @@
         server.route("/readyz", self._say_ok)
         server.route("/metrics", self._metrics)
 
-    async def _say_ok(self, incoming: Incoming, reply: Reply) -> None:
+    async def _say_ok(self, incoming: IncomingRequest, reply: Reply) -> None:
         reply.send(200, TEXT, b"ok\n")
 
-    async def _metrics(self, incoming: Incoming, reply: Reply) -> None:
+    async def _metrics(self, incoming: IncomingRequest, reply: Reply) -> None:
         self._open.set({}, len(self._server.tasks))
         content, headers = render(self.registry, [])
         reply.send(200, {name.lower(): value for name, value in headers.items()}, content)
--- a/pondpin/standins/local_fleet.py
+++ b/pondpin/standins/local_fleet.py
@@ -242,20 +242,20 @@
             instance.peers.blocked_addresses = others
             for where, addresses in upstreams.items():
                 if (where == center) != (spec.data_center == center):
-                    instance.http.blocked |= addresses
+                    instance.http.blocked_endpoints |= addresses
 
     def cut_platform(self, center: str) -> None:
         """Cut a data centre's instances off from the platform."""
         for spec in self.spec.entries:
             if spec.data_center == center:
-                blocked = self.entries_by_name[spec.name].instance.http.blocked
+                blocked = self.entries_by_name[spec.name].instance.http.blocked_endpoints
                 blocked.add(self.platform_address)
 
     def join_centers(self) -> None:
         """End all cuts."""
         for running in self.entries_by_name.values():
             running.instance.peers.blocked_addresses = set()
-            running.instance.http.blocked.clear()
+            running.instance.http.blocked_endpoints.clear()
 
     async def kill_entry(self, name: str) -> None:
         """End an entry instance at once, as a killed process does."""
--- a/pondpin/standins/local_platform.py
+++ b/pondpin/standins/local_platform.py
@@ -147,9 +147,9 @@
             await entry.stop()
         for worker in self.workers_by_id.values():
             await worker.server.close()
-            worker.server.cut()
+            worker.server.abort_connections()
         await self.store.server.close()
-        self.store.server.cut()
+        self.store.server.abort_connections()
         await self.http.close()
 
     def add_worker(
--- a/pondpin/standins/misbehaviour.py
+++ b/pondpin/standins/misbehaviour.py
@@ -15,7 +15,7 @@
 
 def close_raw(reply: Reply) -> None:
     """Close the connection after what was written."""
-    reply.gone = True
+    reply.is_closed = True
     if reply.channel is not None:
         reply.channel.loseConnection()
 
--- a/pondpin/standins/platform.py
+++ b/pondpin/standins/platform.py
@@ -10,7 +10,7 @@
 
 from pondpin.codes import Code
 from pondpin.errors import PondpinError
-from pondpin.http_reply import JSON, Incoming, Reply
+from pondpin.http_reply import JSON, IncomingRequest, Reply
 from pondpin.http_server import WebServer
 from pondpin.network import Endpoint, parse_endpoint
 from pondpin.platform_protocol import (
@@ -21,7 +21,7 @@
     InstanceList,
     ListedInstance,
 )
-from pondpin.runtime import Ready, run, run_command, steady_now, stop_on_signals
+from pondpin.runtime import ParsedCommand, run, run_command, steady_now, stop_on_signals
 from pondpin.standins.faults import Faults
 from pondpin.standins.health import Health
 
@@ -118,7 +118,7 @@
             return False
         return True
 
-    async def _value(self, incoming: Incoming, reply: Reply) -> None:
+    async def _value(self, incoming: IncomingRequest, reply: Reply) -> None:
         if not self._gate(reply):
             return
         after = int(incoming.query.get("after", "-1"))
@@ -145,7 +145,7 @@
         """
 
         def is_over() -> bool:
-            return self.revision > after or self.epoch != epoch or reply.gone
+            return self.revision > after or self.epoch != epoch or reply.is_closed
 
         self.limit.waiting += 1
         try:
@@ -157,15 +157,15 @@
         finally:
             self.limit.waiting -= 1
 
-    async def _instances(self, incoming: Incoming, reply: Reply) -> None:
+    async def _instances(self, incoming: IncomingRequest, reply: Reply) -> None:
         if self._gate(reply):
             reply.send_json(InstanceList(self.listed))
 
-    async def _set_faults(self, incoming: Incoming, reply: Reply) -> None:
+    async def _set_faults(self, incoming: IncomingRequest, reply: Reply) -> None:
         self.faults = msgspec.json.decode(incoming.body, type=Faults)
         reply.send_json(self.faults)
 
-    async def _publish(self, incoming: Incoming, reply: Reply) -> None:
+    async def _publish(self, incoming: IncomingRequest, reply: Reply) -> None:
         if incoming.method != "POST" or len(incoming.body) > VALUE_LIMIT:
             raise PondpinError(Code.BODY_TOO_LARGE)
         reply.send_json({"revision": await self.publish(incoming.body)})
@@ -197,7 +197,7 @@
     return msgspec.convert(json.loads(Path(path).read_text()), InstanceList).instances
 
 
-def platform(address: str, configuration: str, instances: str = "") -> Ready:
+def platform(address: str, configuration: str, instances: str = "") -> ParsedCommand:
     """Publish a configuration file on IP:port; the file is followed while it changes."""
 
     async def work(reactor: Any) -> int:
@@ -210,7 +210,7 @@
         await served.stop()
         return 0
 
-    return Ready(lambda: run(work))
+    return ParsedCommand(lambda: run(work))
 
 
 def main() -> None:
--- a/pondpin/standins/published_store.py
+++ b/pondpin/standins/published_store.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from pondpin.http_reply import JSON, Incoming, Reply
+from pondpin.http_reply import JSON, IncomingRequest, Reply
 from pondpin.http_server import WebServer
 from pondpin.network import Endpoint
 from pondpin.standins.store_state import StoreAnswer, StoreState
@@ -51,16 +51,16 @@
         """Fail for the callers of an address, or for all."""
         self.fault_by_host[host] = fault
 
-    async def _key(self, incoming: Incoming, reply: Reply) -> None:
+    async def _key(self, incoming: IncomingRequest, reply: Reply) -> None:
         if not await self._misbehave(reply):
             self._send(reply, self.read_key(incoming.query.get("tlsKey", "")))
 
-    async def _range(self, incoming: Incoming, reply: Reply) -> None:
+    async def _range(self, incoming: IncomingRequest, reply: Reply) -> None:
         if not await self._misbehave(reply):
             prefix = incoming.query.get("pathPrefix", "")
             self._send(reply, self.read_range(prefix, incoming.query.get("sinceRevision", "")))
 
-    async def _watch(self, incoming: Incoming, reply: Reply) -> None:
+    async def _watch(self, incoming: IncomingRequest, reply: Reply) -> None:
         if not await self._misbehave(reply):
             prefix = incoming.query.get("pathPrefix", "")
             since = int(incoming.query.get("sinceRevision", "0"))
--- a/pondpin/standins/service.py
+++ b/pondpin/standins/service.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from pondpin.http_reply import JSON, Incoming, Reply
+from pondpin.http_reply import JSON, IncomingRequest, Reply
 from pondpin.http_server import WebServer
 from pondpin.network import Endpoint, parse_endpoint
-from pondpin.runtime import Ready, run, run_command, steady_now, stop_on_signals
+from pondpin.runtime import ParsedCommand, run, run_command, steady_now, stop_on_signals
 from pondpin.standins.faults import Faults
 from pondpin.standins.health import Health
 from pondpin.standins.wishes import Wishes, wish_of
@@ -61,7 +61,7 @@
         self.server.route("/leave", self._leave)
         Health(self.server, "service")
 
-    async def _call(self, incoming: Incoming, reply: Reply) -> None:
+    async def _call(self, incoming: IncomingRequest, reply: Reply) -> None:
         await self.thawed.wait()
         if self.faults.dead or self._use("drop_before"):
             reply.abort()
@@ -91,7 +91,7 @@
         setattr(self.faults, fault, left - 1)
         return True
 
-    def _run(self, incoming: Incoming) -> ServiceAnswer:
+    def _run(self, incoming: IncomingRequest) -> ServiceAnswer:
         token = incoming.headers.get("idempotency-key", "")
         if self.checks_tokens and token in self.answers_by_token:
             return self.answers_by_token[token]
@@ -103,14 +103,14 @@
             self.answers_by_token[token] = answer
         return answer
 
-    def _call_id(self, incoming: Incoming) -> str:
+    def _call_id(self, incoming: IncomingRequest) -> str:
         try:
             document = msgspec.json.decode(incoming.body)
         except msgspec.MsgspecError:
             return f"untold-{len(self.times_by_call)}"
         return str(document.get("call", "")) if isinstance(document, dict) else ""
 
-    async def _load(self, incoming: Incoming, reply: Reply) -> None:
+    async def _load(self, incoming: IncomingRequest, reply: Reply) -> None:
         await self.thawed.wait()
         if self.faults.dead:
             reply.abort()
@@ -118,7 +118,7 @@
         load = msgspec.json.encode(ServiceLoad(self.incarnation, self.state, self.running))
         reply.send(200, {"content-type": JSON} | self.faults.limit_header(), load)
 
-    async def _set_faults(self, incoming: Incoming, reply: Reply) -> None:
+    async def _set_faults(self, incoming: IncomingRequest, reply: Reply) -> None:
         self.apply_faults(msgspec.json.decode(incoming.body, type=Faults))
         reply.send_json(self.faults)
 
@@ -130,11 +130,11 @@
         else:
             self.thawed.set()
 
-    async def _leave(self, incoming: Incoming, reply: Reply) -> None:
+    async def _leave(self, incoming: IncomingRequest, reply: Reply) -> None:
         self.state = "leaving"
         reply.send_json({"state": self.state})
 
-    async def _audit(self, incoming: Incoming, reply: Reply) -> None:
+    async def _audit(self, incoming: IncomingRequest, reply: Reply) -> None:
         reply.send_json(self.times_by_call)
 
     def run_twice(self) -> int:
@@ -152,7 +152,7 @@
             task.cancel()
 
 
-def service(address: str, name: str, checks_tokens: bool = False) -> Ready:
+def service(address: str, name: str, checks_tokens: bool = False) -> ParsedCommand:
     """Run a stand-in service on IP:port."""
 
     async def work(reactor: Any) -> int:
@@ -164,7 +164,7 @@
         await served.stop()
         return 0
 
-    return Ready(lambda: run(work))
+    return ParsedCommand(lambda: run(work))
 
 
 def main() -> None:
--- a/pondpin/standins/worker.py
+++ b/pondpin/standins/worker.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from pondpin.http_reply import Incoming, Reply
+from pondpin.http_reply import IncomingRequest, Reply
 from pondpin.http_server import WebServer
 from pondpin.network import Endpoint
 from pondpin.standins.misbehaviour import abort_after_write, close_raw, write_raw
@@ -128,13 +128,13 @@
         if self.server.port is None:
             return
         self.crashes += 1
-        self.server.cut()
+        self.server.abort_connections()
         self.server.spawn(self.server.close())
         self.on_crash()
 
     def start_again(self, born: int) -> None:
         """Crash and start again under the same id; what the audit counted is kept."""
-        self.server.cut()
+        self.server.abort_connections()
         self.born = born
         self.lease_by_id.clear()
         self.faults.clear()
@@ -143,7 +143,7 @@
         self.ended_wishes.append(self.wishes)
         self.wishes = Wishes()
 
-    async def _health(self, incoming: Incoming, reply: Reply) -> None:
+    async def _health(self, incoming: IncomingRequest, reply: Reply) -> None:
         self.probes += 1
         self.wishes.others.append(time.time())
         if self.lasting_fault is WorkerFault.HANG:
@@ -175,7 +175,7 @@
         reply.send(503, self._marked(headers), b"")
         return True
 
-    async def _report(self, incoming: Incoming, reply: Reply) -> None:
+    async def _report(self, incoming: IncomingRequest, reply: Reply) -> None:
         self.reports += 1
         self.wishes.others.append(time.time())
         if self.dark:
@@ -188,7 +188,7 @@
             report["born"] = self.born
         self._send_json(reply, report)
 
-    async def _order(self, incoming: Incoming, reply: Reply) -> None:
+    async def _order(self, incoming: IncomingRequest, reply: Reply) -> None:
         order = msgspec.json.decode(incoming.body)
         name = order["id"]
         if order["op"] == "release" or name in self.held_leases():
@@ -220,7 +220,7 @@
     def _free(self) -> int:
         return self.memory - sum(lease.tokens for lease in self.held_leases().values())
 
-    async def _serve(self, incoming: Incoming, reply: Reply) -> None:
+    async def _serve(self, incoming: IncomingRequest, reply: Reply) -> None:
         self.seen.append(Seen(incoming.method, incoming.target, incoming.headers, incoming.body))
         fault = self.faults.pop(0) if self.faults else self.lasting_fault
         expected = incoming.headers.get("x-expect-instance", self.id)
@@ -248,7 +248,7 @@
             self.working -= 1
 
     async def _run(
-        self, incoming: Incoming, reply: Reply, attempt: str, fault: WorkerFault
+        self, incoming: IncomingRequest, reply: Reply, attempt: str, fault: WorkerFault
     ) -> None:
         if fault is WorkerFault.HANG:
             await self._hang(reply)
@@ -275,7 +275,9 @@
         else:
             self._answer(reply, headers, attempt, fault)
 
-    async def _crash_soon(self, incoming: Incoming, reply: Reply, headers: dict[str, str]) -> None:
+    async def _crash_soon(
+        self, incoming: IncomingRequest, reply: Reply, headers: dict[str, str]
+    ) -> None:
         if "x-token-usage" in incoming.headers:
             reply.start(200, headers | {"content-type": "text/event-stream"})
         self.deadly_runs.append((incoming.body, time.time()))
@@ -284,7 +286,7 @@
 
     async def _hang(self, reply: Reply) -> None:
         for _ in range(int(HANG_SECONDS * 100)):
-            if reply.gone:
+            if reply.is_closed:
                 return
             await asyncio.sleep(0.01)
 
@@ -309,13 +311,13 @@
                 write_raw(reply, _head(headers) + b"content-length: " + size + b"\r\n\r\n" + body)
 
     async def _stream(
-        self, incoming: Incoming, reply: Reply, headers: dict[str, str], fault: WorkerFault
+        self, incoming: IncomingRequest, reply: Reply, headers: dict[str, str], fault: WorkerFault
     ) -> None:
         after = "0" if self.ignores_resuming else incoming.headers.get("last-event-id", "0")
         first = int(after) + 1
         reply.start(200, headers | {"content-type": "text/event-stream"})
         for number in range(first, self.events + 1):
-            if reply.gone:
+            if reply.is_closed:
                 return
             event = f"id: {number}\ndata: piece {number}\n\n".encode()
             if fault in (WorkerFault.CUT, WorkerFault.CUT_EVENT) and number >= first + HALF:
--- a/pondpin/stream_attempt.py
+++ b/pondpin/stream_attempt.py
@@ -10,7 +10,7 @@
 from pondpin.clocks import Clock
 from pondpin.engine_client import FrameReader
 from pondpin.frames import FrameGate, GapError
-from pondpin.http_streams import CallFailedError, OpenStream
+from pondpin.http_streams import CallFailedError, ResponseStream
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
     tokens: int = 0
     paused: bool = False
     reader: FrameReader = field(default_factory=FrameReader)
-    stream: OpenStream | None = None
+    stream: ResponseStream | None = None
 
     def __post_init__(self) -> None:
         """Set the clock running."""
--- a/pondpin/tests/support.py
+++ b/pondpin/tests/support.py
@@ -8,7 +8,7 @@
 from absl import logging
 from hypothesis import settings
 
-from pondpin.http_client import Answer, HttpClient
+from pondpin.http_client import HttpClient, HttpResponse
 from pondpin.invariants import INVARIANTS
 from pondpin.relay.log import EventLog
 from pondpin.relay.log_events import LogEvent
@@ -243,7 +243,7 @@
     method: str = "POST",
     body: bytes = b"question",
     **headers: str,
-) -> Answer:
+) -> HttpResponse:
     """One request of a caller."""
     named = {
         "host": RELAY_HOST,
@@ -269,7 +269,7 @@
     return sum(worker.runs_by_attempt[attempt] for worker in platform.workers_by_id.values())
 
 
-def numbers(answer: Answer) -> list[int]:
+def numbers(answer: HttpResponse) -> list[int]:
     """The ids of the events of an answer."""
     lines = answer.body.decode().splitlines()
     return [int(line.partition(":")[2]) for line in lines if line.startswith("id:")]
--- a/pondpin/tests/test_callers.py
+++ b/pondpin/tests/test_callers.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from pondpin.codes import Code, Ran
-from pondpin.http_client import Answer
+from pondpin.http_client import HttpResponse
 from pondpin.tests.support import KEY, MODEL, FleetCase, question
 
 BODY = {"model": MODEL, "prompt": "Where?", "max_tokens": 4}
@@ -14,7 +14,7 @@
 class BadInputTest(FleetCase):
     async def post(
         self, body: bytes, path: str = "/v1/completions", **headers: str
-    ) -> tuple[Code, Answer]:
+    ) -> tuple[Code, HttpResponse]:
         sent = {"authorization": f"Bearer {KEY}"} | {
             name.replace("_", "-"): value for name, value in headers.items()
         }
--- a/pondpin/tests/test_crash_watch.py
+++ b/pondpin/tests/test_crash_watch.py
@@ -8,9 +8,9 @@
 import unittest
 
 from pondpin.codes import Code, Ran
-from pondpin.crash_watch import BROKEN_SECONDS, CrashWatch
+from pondpin.crash_watch import BROKEN_SECONDS, CrashMonitor
 from pondpin.fleet import Fleet, UpstreamState
-from pondpin.http_client import Reach
+from pondpin.http_client import ConnectOutcome
 from pondpin.quarantine import Verdict
 from pondpin.standins.engine import Engine
 from pondpin.tests.support import FakeClock, FleetCase, question, run_async, wait_until
@@ -65,7 +65,7 @@
             watch = running.instance.crashes
             await wait_until(lambda: bool(watch.quarantine.ends_by_identity))
             identity = next(iter(watch.quarantine.ends_by_identity))
-            self.assertIs(watch.judge(identity).verdict, Verdict.QUARANTINED)
+            self.assertIs(watch.assess(identity).verdict, Verdict.QUARANTINED)
 
         self.drive(test)
 
@@ -75,10 +75,12 @@
 
     def setUp(self) -> None:
         self.clock = FakeClock()
-        self.answer = Reach.LISTENS
-        self.watch = CrashWatch("a", Fleet("dc"), self.reach, lambda _: 0, lambda: None, self.clock)
+        self.answer = ConnectOutcome.CONNECTED
+        self.watch = CrashMonitor(
+            "a", Fleet("dc"), self.reach, lambda _: 0, lambda: None, self.clock
+        )
 
-    async def reach(self, host: str, port: int) -> Reach:
+    async def reach(self, host: str, port: int) -> ConnectOutcome:
         return self.answer
 
     def state(self, name: str = "e1") -> UpstreamState:
@@ -86,58 +88,58 @@
         return UpstreamState(name, upstream, {}, incarnation=1)  # type: ignore[arg-type]
 
     def look(self, state: UpstreamState) -> None:
-        run_async(self.watch.look(1, (state,)))
+        run_async(self.watch.check_liveness(1, (state,)))
 
     def ends(self) -> int:
-        return len(self.watch.judge(1).ends)
+        return len(self.watch.assess(1).ends)
 
     def test_a_break_alone_proves_nothing(self) -> None:
         self.look(self.state())
         self.clock.advance(BROKEN_SECONDS)
-        self.watch.step()
+        self.watch.refresh()
         self.assertEqual(self.ends(), 0)
 
     def test_a_refused_connection_and_a_later_incarnation_prove_one_end(self) -> None:
-        self.answer = Reach.REFUSED
+        self.answer = ConnectOutcome.REFUSED
         state = self.state()
         self.look(state)
         state.incarnation = 2
-        self.watch.step()
+        self.watch.refresh()
         self.assertEqual(self.ends(), 1)
 
     def test_a_later_incarnation_proves_it(self) -> None:
         state = self.state()
         self.look(state)
         state.incarnation = 2
-        self.watch.step()
+        self.watch.refresh()
         self.assertEqual(self.ends(), 1)
 
     def test_an_upstream_that_leaves_proves_nothing(self) -> None:
-        self.answer = Reach.REFUSED
+        self.answer = ConnectOutcome.REFUSED
         state = self.state()
         state.listed_leaving = True
         self.look(state)
         self.assertEqual(self.ends(), 0)
 
     def test_what_is_told_is_taken_by_a_peer(self) -> None:
-        self.answer = Reach.REFUSED
+        self.answer = ConnectOutcome.REFUSED
         for name in ("e1", "e2", "e3"):
             self.look(self.state(name))
-        peer = CrashWatch("b", Fleet("dc"), self.reach, lambda _: 0, lambda: None, self.clock)
-        for data in (self.watch.tell(), b"", b"\xff", self.watch.tell()):
-            peer.hear("a", data)
-        self.assertIs(peer.judge(1).verdict, Verdict.QUARANTINED)
-        self.assertEqual(len(peer.judge(1).ends), 3)
+        peer = CrashMonitor("b", Fleet("dc"), self.reach, lambda _: 0, lambda: None, self.clock)
+        for data in (self.watch.heartbeat_payload(), b"", b"\xff", self.watch.heartbeat_payload()):
+            peer.apply_payload("a", data)
+        self.assertIs(peer.assess(1).verdict, Verdict.QUARANTINED)
+        self.assertEqual(len(peer.assess(1).ends), 3)
 
     def test_what_ended_whole_is_free_at_peers_too(self) -> None:
-        self.answer = Reach.REFUSED
+        self.answer = ConnectOutcome.REFUSED
         self.look(self.state())
-        peer = CrashWatch("b", Fleet("dc"), self.reach, lambda _: 0, lambda: None, self.clock)
-        peer.hear("a", self.watch.tell())
-        self.assertEqual(len(peer.judge(1).ends), 1)
-        self.watch.note_good(1)
-        peer.hear("a", self.watch.tell())
-        self.assertEqual(len(peer.judge(1).ends), 0)
+        peer = CrashMonitor("b", Fleet("dc"), self.reach, lambda _: 0, lambda: None, self.clock)
+        peer.apply_payload("a", self.watch.heartbeat_payload())
+        self.assertEqual(len(peer.assess(1).ends), 1)
+        self.watch.record_success(1)
+        peer.apply_payload("a", self.watch.heartbeat_payload())
+        self.assertEqual(len(peer.assess(1).ends), 0)
 
 
 if __name__ == "__main__":
