--- a/pondpin/tests/test_ctl.py
+++ b/pondpin/tests/test_ctl.py
@@ -13,7 +13,7 @@
 from pondpin.decisions import Decision, tell
 from pondpin.http_client import HttpClient
 from pondpin.operators import OperatorGate
-from pondpin.runtime import Ready
+from pondpin.runtime import ParsedCommand
 from pondpin.settings import Operator
 from pondpin.standins.local_fleet import key_hash
 from pondpin.tests.support import FleetCase, question, the_loop
@@ -26,7 +26,7 @@
 FILE = str(SAMPLES / "fleet" / "configuration.json")
 
 
-def run_quietly(ready: Ready) -> tuple[int, str]:
+def run_quietly(ready: ParsedCommand) -> tuple[int, str]:
     output = io.StringIO()
     with contextlib.redirect_stdout(output), contextlib.redirect_stderr(output):
         try:
@@ -96,7 +96,7 @@
 class GateTest(unittest.TestCase):
     def test_rights(self) -> None:
         from pondpin.errors import PondpinError
-        from pondpin.http_reply import Incoming
+        from pondpin.http_reply import IncomingRequest
 
         gate = OperatorGate(
             (
@@ -105,8 +105,8 @@
             )
         )
 
-        def incoming(token: str) -> Incoming:
-            return Incoming("GET", "/", {}, {"authorization": f"Bearer {token}"}, b"")
+        def incoming(token: str) -> IncomingRequest:
+            return IncomingRequest("GET", "/", {}, {"authorization": f"Bearer {token}"}, b"")
 
         self.assertEqual(gate.check(incoming("r"), act=False), "reader")
         self.assertEqual(gate.check(incoming("a"), act=True), "actor")
--- a/pondpin/tests/test_health.py
+++ b/pondpin/tests/test_health.py
@@ -6,13 +6,13 @@
 from hypothesis import strategies as st
 
 from pondpin.health import (
-    LONGEST_EJECTION_SECONDS,
+    MAX_EJECTION_SECONDS,
     Health,
-    note_failure,
-    note_success,
-    usable,
+    record_failure,
+    record_success,
+    usable_names,
 )
-from pondpin.retry_budget import RESERVE, RetryBudget, note_first_attempt, spend_retry
+from pondpin.retry_budget import RESERVE_TOKENS, RetryBudget, record_first_attempt, spend_retry
 
 
 class HealthTest(unittest.TestCase):
@@ -20,21 +20,21 @@
         health = Health()
         for _ in range(3):
             self.assertFalse(health.is_ejected(10.0))
-            health = note_failure(health, 10.0)
+            health = record_failure(health, 10.0)
         self.assertTrue(health.is_ejected(10.0))
 
     def test_a_refused_connection_ejects_at_once(self) -> None:
-        self.assertTrue(note_failure(Health(), 10.0, certain=True).is_ejected(10.5))
+        self.assertTrue(record_failure(Health(), 10.0, certain=True).is_ejected(10.5))
 
     def test_a_success_between_failures_forgives(self) -> None:
-        health = note_success(note_failure(note_failure(Health(), 1.0), 1.0), 1.0)
-        self.assertFalse(note_failure(health, 1.0).is_ejected(1.0))
+        health = record_success(record_failure(record_failure(Health(), 1.0), 1.0), 1.0)
+        self.assertFalse(record_failure(health, 1.0).is_ejected(1.0))
 
     def test_ejections_grow_to_a_limit(self) -> None:
         health, now = Health(), 0.0
         for _ in range(12):
-            health = note_failure(health, now, certain=True)
-            self.assertLessEqual(health.ejected_until - now, LONGEST_EJECTION_SECONDS)
+            health = record_failure(health, now, certain=True)
+            self.assertLessEqual(health.ejected_until - now, MAX_EJECTION_SECONDS)
             now = health.ejected_until
         self.assertEqual(health.ejected_until - now, 0.0)
 
@@ -45,7 +45,7 @@
             name: Health(ejected_until=100.0 if out else 0.0)
             for name, out in zip(names, ejected, strict=True)
         }
-        found = usable(names, health, 50.0)
+        found = usable_names(names, health, 50.0)
         self.assertTrue(found)
         if not all(ejected):
             self.assertFalse(any(health[name].is_ejected(50.0) for name in found))
@@ -57,15 +57,15 @@
         for _ in range(100):
             allowed, budget = spend_retry(budget, 0.0)
             spent += allowed
-        self.assertEqual(spent, int(RESERVE))
+        self.assertEqual(spent, int(RESERVE_TOKENS))
 
     @given(st.lists(st.floats(0, 0.5), min_size=20, max_size=200))
     def test_retries_are_a_bounded_share(self, gaps: list[float]) -> None:
         budget, now, retries = RetryBudget(), 0.0, 0
         for gap in gaps:
             now += gap
-            budget = note_first_attempt(budget, 0.1, now)
+            budget = record_first_attempt(budget, 0.1, now)
             allowed, budget = spend_retry(budget, now)
             retries += allowed
-        refilled = RESERVE * (1 + now / 10.0)
+        refilled = RESERVE_TOKENS * (1 + now / 10.0)
         self.assertLessEqual(retries, 0.1 * len(gaps) + refilled + 1)
--- a/pondpin/tests/test_http_server.py
+++ b/pondpin/tests/test_http_server.py
@@ -9,7 +9,7 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
-from pondpin.http_reply import Incoming, Reply
+from pondpin.http_reply import IncomingRequest, Reply
 from pondpin.http_server import BodyBudget, ServerLimits, WebFactory, WebServer
 from pondpin.tests.support import run_async
 
@@ -28,7 +28,7 @@
         self.protocol: Any = WebFactory(self.server).buildProtocol(address)
         self.protocol.makeConnection(self.transport)
 
-    async def _echo(self, incoming: Incoming, reply: Reply) -> None:
+    async def _echo(self, incoming: IncomingRequest, reply: Reply) -> None:
         reply.send(200, {}, incoming.body)
 
     def send(self, data: bytes) -> bytes:
@@ -77,7 +77,7 @@
 
     def test_all_bodies_together_are_bounded(self) -> None:
         channel = Channel()
-        self.assertTrue(channel.server.budget.take(100))
+        self.assertTrue(channel.server.budget.reserve(100))
         answer = channel.send(b"POST / HTTP/1.1\r\ncontent-length: 60\r\n\r\n" + b"x" * 60)
         self.assertIn(b"BODIES_HELD", answer)
         self.assertEqual(channel.server.budget.held, 100)
@@ -132,8 +132,8 @@
 class BudgetTest(unittest.TestCase):
     def test_no_more_is_returned_than_taken(self) -> None:
         budget = BodyBudget(10)
-        self.assertTrue(budget.take(10))
-        self.assertFalse(budget.take(1))
-        budget.give_back(10)
+        self.assertTrue(budget.reserve(10))
+        self.assertFalse(budget.reserve(1))
+        budget.release(10)
         with self.assertRaises(AssertionError):
-            budget.give_back(1)
+            budget.release(1)
--- a/pondpin/tests/test_interface_notices.py
+++ b/pondpin/tests/test_interface_notices.py
@@ -21,7 +21,7 @@
 from pondpin.errors import PondpinError
 from pondpin.filters.serve import ServiceFilter
 from pondpin.fleet import Fleet, UpstreamState
-from pondpin.limit_turns import LimitTurns, Sharer
+from pondpin.limit_turns import InstancePosition, LimitSlots
 from pondpin.notices import Notice
 from pondpin.standins.engine import Engine
 from pondpin.standins.faults import Faults
@@ -34,7 +34,7 @@
 
 ASKED = 20
 LIMIT_SECONDS = 7.0
-WORDS = (Notice(leaves=True), Notice(rest=30.0))
+WORDS = (Notice(is_leaving=True), Notice(rest=30.0))
 SPEC = sample_spec(
     entries=(EntrySpec(name="a1", data_center="dc-a"),),
     services=(
@@ -118,21 +118,21 @@
         self, limit: float, count: int, late: list[float]
     ) -> None:
         # Each hears the limit with its next poll, and sends whenever it may.
-        turns = [LimitTurns(limit, late[rank % len(late)]) for rank in range(count)]
+        turns = [LimitSlots(limit, late[rank % len(late)]) for rank in range(count)]
         wishes = Wishes()
         wishes.note("x", 0.0, False, 0.0, limit)
         for step in range(400):
             now = 0.3 + step * 0.05
             for rank, item in enumerate(turns):
-                if item.begin(Sharer(rank, count), now) is not None:
-                    item.take(Sharer(rank, count), now)
+                if item.current_slot(InstancePosition(rank, count), now) is not None:
+                    item.use_slot(InstancePosition(rank, count), now)
                     wishes.note(f"i{rank}", now, False, 0.0, limit)
         self.assertLessEqual(worst_over([wishes]), 0.0)
 
     def test_a_limit_of_nothing_has_no_turn(self) -> None:
-        turns = LimitTurns(0.0, 0.0)
-        self.assertIsNone(turns.begin(Sharer(), 100.0))
-        self.assertEqual(turns.next_in(Sharer(), 100.0), math.inf)
+        turns = LimitSlots(0.0, 0.0)
+        self.assertIsNone(turns.current_slot(InstancePosition(), 100.0))
+        self.assertEqual(turns.seconds_to_next(InstancePosition(), 100.0), math.inf)
 
 
 class BeliefTest(unittest.TestCase):
@@ -158,7 +158,7 @@
         self.hear(self.states[1], limit=0.0)
         error = self.fleet.why_nobody(self.states, self.now)
         self.assertEqual(error.code, Code.UPSTREAMS_LIMITED)
-        self.fleet.hear(self.first.upstream.address, Notice(odd_limit="many"), self.now)
+        self.fleet.hear(self.first.upstream.address, Notice(invalid_limit="many"), self.now)
         self.assertEqual(self.names(self.now), [])
         self.hear(self.first)
         self.assertEqual(self.names(self.now), ["e0"])
@@ -182,12 +182,12 @@
 
     def test_all_that_leave_are_refused_as_leaving(self) -> None:
         for state in self.states:
-            self.hear(state, leaves=True)
+            self.hear(state, is_leaving=True)
         error = self.fleet.why_nobody(self.states, self.now)
         self.assertEqual(error.code, Code.UPSTREAMS_LEAVE)
 
     def test_a_later_life_rests_no_more_the_same_one_does(self) -> None:
-        self.hear(self.first, rest=30.0, leaves=True)
+        self.hear(self.first, rest=30.0, is_leaving=True)
         self.first.take_report(make_report(incarnation=1), self.now)
         self.assertNotIn("e0", self.names(self.now))
         self.first.take_report(make_report(incarnation=2), self.now)
--- a/pondpin/tests/test_lifecycle.py
+++ b/pondpin/tests/test_lifecycle.py
@@ -58,7 +58,7 @@
     def test_by_a_peer_alone(self) -> None:
         async def test() -> None:
             b1 = self.fleet.entries_by_name["b1"].instance
-            b1.http.blocked.add(self.fleet.addresses_by_name["e1"])
+            b1.http.blocked_endpoints.add(self.fleet.addresses_by_name["e1"])
             self.fleet.engines_by_name["e1"].state = "leaving"
             await wait_until(lambda: b1.fleet.by_name["e1"].leaving)
 
--- a/pondpin/tests/test_platform.py
+++ b/pondpin/tests/test_platform.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from pondpin.http_client import Answer, HttpClient
-from pondpin.http_streams import CallFailedError, StreamStart
+from pondpin.http_client import HttpClient, HttpResponse
+from pondpin.http_streams import CallFailedError, StreamedResponse
 from pondpin.network import Endpoint
 from pondpin.platform.documents import PlatformDecoder
 from pondpin.platform.reports import PlatformReports
@@ -262,16 +262,16 @@
     def __init__(self) -> None:
         self.body = b""
 
-    async def call_while_moving(
+    async def call_with_stall_timeout(
         self,
         method: str,
         url: str,
         stall: float,
         longest: float,
-        on_head: Callable[[StreamStart], None] = lambda start: None,
-    ) -> Answer:
-        on_head(StreamStart(200, {}, None))
-        return Answer(200, {}, self.body)
+        on_head: Callable[[StreamedResponse], None] = lambda start: None,
+    ) -> HttpResponse:
+        on_head(StreamedResponse(200, {}, None))
+        return HttpResponse(200, {}, self.body)
 
 
 class TemplateTest(unittest.TestCase):
--- a/pondpin/tests/test_quarantine.py
+++ b/pondpin/tests/test_quarantine.py
@@ -12,32 +12,32 @@
 from hypothesis import strategies as st
 
 from pondpin.quarantine import (
-    CROWD_LIVES,
+    AVOID_SECONDS,
+    CORRELATED_LIVES,
     ENDS_TO_QUARANTINE,
-    GOOD_SECONDS,
-    LONGEST_QUARANTINE_SECONDS,
-    MOST_ENDS,
-    MOST_SUSPECTS,
+    MAX_ENDS,
+    MAX_QUARANTINE_SECONDS,
+    MAX_SUSPECTS,
     QUARANTINE_SECONDS,
-    RUN_SECONDS,
-    SHUN_SECONDS,
+    RUN_TIMEOUT_SECONDS,
+    SUCCESS_SECONDS,
     SUSPICION_SECONDS,
-    TURN_SECONDS,
-    VOID_SECONDS,
+    TRIAL_INTERVAL_SECONDS,
+    VOID_RETENTION_SECONDS,
+    AssessmentContext,
     LifeEnd,
     NamedEnd,
     Quarantine,
-    Surroundings,
     Verdict,
+    compute_trial_rank,
     quarantine_seconds,
-    turn_of,
 )
 from pondpin.relay.peers.quarantine_sync import QuarantineSync
 
 NOW = 1000.0
 DEADLY = 1
 OTHER = 2
-MANY = Surroundings(lives=18)
+MANY = AssessmentContext(upstream_count=18)
 
 
 def with_ends(
@@ -46,13 +46,13 @@
     """Ends of a request, one after the other, the last at NOW."""
     quarantine = Quarantine()
     for index, life in enumerate(reversed(lives)):
-        quarantine.note_end(identity, LifeEnd(life, NOW - gap * index, release))
+        quarantine.record_end(identity, LifeEnd(life, NOW - gap * index, release))
     return quarantine
 
 
 class VerdictTest(unittest.TestCase):
     def verdict(self, quarantine: Quarantine, now: float = NOW, identity: int = DEADLY) -> Verdict:
-        return quarantine.judge(identity, now, MANY).verdict
+        return quarantine.assess(identity, now, MANY).verdict
 
     def test_one_end_makes_suspect_and_three_quarantine(self) -> None:
         self.assertIs(self.verdict(Quarantine()), Verdict.FREE)
@@ -64,17 +64,17 @@
     def test_a_life_counts_once_whoever_saw_its_end(self) -> None:
         quarantine = with_ends(1, 2)
         for source in ("a", "b", "c"):
-            quarantine.note_end(DEADLY, LifeEnd(2, NOW + 0.1, source=source))
-        self.assertEqual(len(quarantine.judge(DEADLY, NOW, MANY).ends), 2)
+            quarantine.record_end(DEADLY, LifeEnd(2, NOW + 0.1, source=source))
+        self.assertEqual(len(quarantine.assess(DEADLY, NOW, MANY).ends), 2)
 
     def test_a_second_try_follows_the_first_end_only(self) -> None:
-        self.assertTrue(with_ends(1).judge(DEADLY, NOW, MANY).may_try_again)
-        self.assertFalse(with_ends(1, 2).judge(DEADLY, NOW, MANY).may_try_again)
+        self.assertTrue(with_ends(1).assess(DEADLY, NOW, MANY).allows_retry)
+        self.assertFalse(with_ends(1, 2).assess(DEADLY, NOW, MANY).allows_retry)
 
     def test_who_had_not_just_begun_is_not_suspect_beside_who_had(self) -> None:
         quarantine = with_ends(1, 2, 3)
         for life in (1, 2, 3):
-            quarantine.note_end(OTHER, LifeEnd(life, NOW, unlikely=True))
+            quarantine.record_end(OTHER, LifeEnd(life, NOW, unlikely=True))
         self.assertIs(self.verdict(quarantine, identity=OTHER), Verdict.FREE)
         self.assertIs(self.verdict(quarantine), Verdict.QUARANTINED)
 
@@ -82,7 +82,7 @@
         quarantine = Quarantine()
         verdicts = []
         for life in (1, 2, 3):
-            quarantine.note_end(OTHER, LifeEnd(life, NOW + life, unlikely=True))
+            quarantine.record_end(OTHER, LifeEnd(life, NOW + life, unlikely=True))
             verdicts.append(self.verdict(quarantine, NOW + 3, OTHER))
         self.assertEqual(verdicts, [Verdict.FREE, Verdict.FREE, Verdict.QUARANTINED])
 
@@ -90,34 +90,34 @@
         quarantine = with_ends(1, 2, 3, 4)
         for other, lives in ((OTHER, (1, 2, 3)), (3, (2, 4)), (4, (3,))):
             for life in lives:
-                quarantine.note_end(other, LifeEnd(life, NOW))
+                quarantine.record_end(other, LifeEnd(life, NOW))
         found = [self.verdict(quarantine, identity=identity) for identity in (DEADLY, OTHER, 3, 4)]
         self.assertEqual(found, [Verdict.QUARANTINED, *[Verdict.FREE] * 3])
 
     def test_what_ends_whole_is_free_before_and_after(self) -> None:
         quarantine = with_ends(1, 2, 3)
-        cleared = quarantine.note_good(DEADLY, NOW)
+        cleared = quarantine.record_success(DEADLY, NOW)
         self.assertEqual(len(cleared), 3)
         self.assertIs(self.verdict(quarantine), Verdict.FREE)
-        self.assertFalse(quarantine.note_end(DEADLY, LifeEnd(4, NOW + GOOD_SECONDS - 1)))
-        self.assertTrue(quarantine.note_end(DEADLY, LifeEnd(5, NOW + GOOD_SECONDS + 1)))
+        self.assertFalse(quarantine.record_end(DEADLY, LifeEnd(4, NOW + SUCCESS_SECONDS - 1)))
+        self.assertTrue(quarantine.record_end(DEADLY, LifeEnd(5, NOW + SUCCESS_SECONDS + 1)))
 
     def test_lives_that_go_together_speak_against_nobody(self) -> None:
         """A rack, a zone or a service's power: many lives at once, under different requests."""
         quarantine = Quarantine()
         for life in range(15):
             for request in range(3):
-                quarantine.note_end(100 + 3 * life + request, LifeEnd(life, NOW + 0.02 * life))
+                quarantine.record_end(100 + 3 * life + request, LifeEnd(life, NOW + 0.02 * life))
         # One of them was sent on twice, and lost these workers too.
         for life in (3, 9):
-            quarantine.note_end(100, LifeEnd(life, NOW + 0.02 * life))
+            quarantine.record_end(100, LifeEnd(life, NOW + 0.02 * life))
         found = {self.verdict(quarantine, identity=100 + n) for n in range(45)}
         self.assertEqual(found, {Verdict.FREE})
 
     def test_a_few_that_go_together_make_suspect(self) -> None:
         quarantine = Quarantine()
-        for life in range(1 + CROWD_LIVES):
-            quarantine.note_end(100 + life, LifeEnd(life, NOW))
+        for life in range(1 + CORRELATED_LIVES):
+            quarantine.record_end(100 + life, LifeEnd(life, NOW))
         self.assertIs(self.verdict(quarantine, identity=100), Verdict.SUSPECTED)
 
     def test_several_deadly_requests_do_not_hide_one_another(self) -> None:
@@ -125,21 +125,21 @@
         lives = itertools.count()
         for _ in range(ENDS_TO_QUARANTINE):
             for identity in range(8):
-                quarantine.note_end(identity, LifeEnd(next(lives), NOW))
+                quarantine.record_end(identity, LifeEnd(next(lives), NOW))
         found = {self.verdict(quarantine, identity=identity) for identity in range(8)}
         self.assertEqual(found, {Verdict.QUARANTINED})
 
     def test_all_workers_of_a_small_service_count(self) -> None:
         quarantine = with_ends(1, 2, 3, gap=0.1)
-        around = Surroundings(lives=3)
-        self.assertIs(quarantine.judge(DEADLY, NOW, around).verdict, Verdict.QUARANTINED)
+        around = AssessmentContext(upstream_count=3)
+        self.assertIs(quarantine.assess(DEADLY, NOW, around).verdict, Verdict.QUARANTINED)
 
 
 class LapseTest(unittest.TestCase):
     def test_suspicion_lapses(self) -> None:
         quarantine = with_ends(1, 2)
         later = NOW + SUSPICION_SECONDS
-        self.assertIs(quarantine.judge(DEADLY, later, MANY).verdict, Verdict.FREE)
+        self.assertIs(quarantine.assess(DEADLY, later, MANY).verdict, Verdict.FREE)
         quarantine.prune(later)
         self.assertFalse(quarantine.ends_by_identity)
 
@@ -148,67 +148,67 @@
         now = NOW
         waits = []
         for life in range(4, 8):
-            judgement = quarantine.judge(DEADLY, now + 1.0, MANY)
+            judgement = quarantine.assess(DEADLY, now + 1.0, MANY)
             self.assertIs(judgement.verdict, Verdict.QUARANTINED)
             waits.append(judgement.until - now)
             now = judgement.until
-            judgement = quarantine.judge(DEADLY, now, MANY)
+            judgement = quarantine.assess(DEADLY, now, MANY)
             self.assertIs(judgement.verdict, Verdict.SUSPECTED)
-            self.assertFalse(judgement.may_try_again)
-            quarantine.note_end(DEADLY, LifeEnd(life, now))
+            self.assertFalse(judgement.allows_retry)
+            quarantine.record_end(DEADLY, LifeEnd(life, now))
             quarantine.prune(now)
         self.assertEqual(waits, [QUARANTINE_SECONDS * 2**n for n in range(4)])
-        self.assertEqual(quarantine_seconds(40), LONGEST_QUARANTINE_SECONDS)
+        self.assertEqual(quarantine_seconds(40), MAX_QUARANTINE_SECONDS)
 
     def test_instances_take_their_turn_when_it_is_over(self) -> None:
         quarantine = with_ends(1, 2, 3)
         over = NOW + QUARANTINE_SECONDS
-        later = Surroundings(lives=18, turn=2)
+        later = AssessmentContext(upstream_count=18, trial_rank=2)
         for now, expected in (
-            (over + 2 * TURN_SECONDS - 0.1, Verdict.QUARANTINED),
-            (over + 2 * TURN_SECONDS, Verdict.SUSPECTED),
+            (over + 2 * TRIAL_INTERVAL_SECONDS - 0.1, Verdict.QUARANTINED),
+            (over + 2 * TRIAL_INTERVAL_SECONDS, Verdict.SUSPECTED),
         ):
-            self.assertIs(quarantine.judge(DEADLY, now, later).verdict, expected)
+            self.assertIs(quarantine.assess(DEADLY, now, later).verdict, expected)
 
     def test_each_instance_has_another_turn_and_not_always_the_same(self) -> None:
         names = [f"i{n}" for n in range(8)]
         firsts = set()
         for identity in range(50):
-            turns = [turn_of(identity, name, set(names) - {name}) for name in names]
+            turns = [compute_trial_rank(identity, name, set(names) - {name}) for name in names]
             self.assertEqual(sorted(turns), list(range(8)))
             firsts.add(turns.index(0))
         self.assertEqual(len(firsts), 8)
 
     def test_new_software_is_tried_once_by_one_instance(self) -> None:
         quarantine = with_ends(1, 2, 3, release=7)
-        first = Surroundings(lives=18, releases=frozenset({7, 8}), turn=0)
-        judgement = quarantine.judge(DEADLY, NOW, first)
+        first = AssessmentContext(upstream_count=18, releases=frozenset({7, 8}), trial_rank=0)
+        judgement = quarantine.assess(DEADLY, NOW, first)
         self.assertIs(judgement.verdict, Verdict.SUSPECTED)
-        self.assertEqual(judgement.spent_releases, {7})
-        second = Surroundings(lives=18, releases=frozenset({7, 8}), turn=1)
-        self.assertIs(quarantine.judge(DEADLY, NOW, second).verdict, Verdict.QUARANTINED)
-        quarantine.note_end(DEADLY, LifeEnd(4, NOW, 8))
-        self.assertIs(quarantine.judge(DEADLY, NOW, first).verdict, Verdict.QUARANTINED)
+        self.assertEqual(judgement.failed_releases, {7})
+        second = AssessmentContext(upstream_count=18, releases=frozenset({7, 8}), trial_rank=1)
+        self.assertIs(quarantine.assess(DEADLY, NOW, second).verdict, Verdict.QUARANTINED)
+        quarantine.record_end(DEADLY, LifeEnd(4, NOW, 8))
+        self.assertIs(quarantine.assess(DEADLY, NOW, first).verdict, Verdict.QUARANTINED)
 
     def test_a_run_that_was_told_and_never_ended_lapses(self) -> None:
         quarantine = Quarantine()
         quarantine.begin_run(DEADLY, "a", 5, NOW)
-        self.assertEqual(quarantine.shunned(NOW + SHUN_SECONDS - 0.1), {5})
-        self.assertEqual(quarantine.shunned(NOW + SHUN_SECONDS), frozenset())
-        self.assertTrue(quarantine.is_running(DEADLY, NOW + RUN_SECONDS - 0.1))
-        self.assertFalse(quarantine.is_running(DEADLY, NOW + RUN_SECONDS))
-        quarantine.prune(NOW + RUN_SECONDS)
+        self.assertEqual(quarantine.avoided_lives(NOW + AVOID_SECONDS - 0.1), {5})
+        self.assertEqual(quarantine.avoided_lives(NOW + AVOID_SECONDS), frozenset())
+        self.assertTrue(quarantine.is_running(DEADLY, NOW + RUN_TIMEOUT_SECONDS - 0.1))
+        self.assertFalse(quarantine.is_running(DEADLY, NOW + RUN_TIMEOUT_SECONDS))
+        quarantine.prune(NOW + RUN_TIMEOUT_SECONDS)
         self.assertFalse(quarantine.runs_by_identity)
 
     def test_what_is_remembered_is_bounded_and_the_proved_stay(self) -> None:
         quarantine = with_ends(1, 2, 3)
-        for number in range(MOST_SUSPECTS + 50):
-            quarantine.note_end(100 + number, LifeEnd(100 + number, NOW + number))
+        for number in range(MAX_SUSPECTS + 50):
+            quarantine.record_end(100 + number, LifeEnd(100 + number, NOW + number))
         for life in range(10, 40):
-            quarantine.note_end(DEADLY, LifeEnd(life, NOW + life))
-        self.assertEqual(len(quarantine.ends_by_identity), MOST_SUSPECTS)
-        self.assertEqual(len(quarantine.ends_by_identity[DEADLY]), MOST_ENDS)
-        judgement = quarantine.judge(DEADLY, NOW + 40, MANY)
+            quarantine.record_end(DEADLY, LifeEnd(life, NOW + life))
+        self.assertEqual(len(quarantine.ends_by_identity), MAX_SUSPECTS)
+        self.assertEqual(len(quarantine.ends_by_identity[DEADLY]), MAX_ENDS)
+        judgement = quarantine.assess(DEADLY, NOW + 40, MANY)
         self.assertIs(judgement.verdict, Verdict.QUARANTINED)
 
 
@@ -238,34 +238,34 @@
         self, told: list[NamedEnd], rng: random.Random
     ) -> None:
         one, other = Quarantine(), Quarantine()
-        one.take(told, NOW + 50)
+        one.merge_ends(told, NOW + 50)
         again = [*told, *rng.sample(told, len(told) // 2)]
         rng.shuffle(again)
-        other.take(again, NOW + 50)
+        other.merge_ends(again, NOW + 50)
         self.assertEqual(believed(one), believed(other))
-        self.assertEqual(one.tag, other.tag)
+        self.assertEqual(one.fingerprint, other.fingerprint)
 
     @given(NAMED, NAMED)
     def test_two_sides_that_tell_each_other_believe_the_same(
         self, here: list[NamedEnd], there: list[NamedEnd]
     ) -> None:
         one, other = Quarantine(), Quarantine()
-        one.take(here, NOW + 50)
-        other.take(there, NOW + 50)
+        one.merge_ends(here, NOW + 50)
+        other.merge_ends(there, NOW + 50)
         for _ in range(2):
-            told = one.most_telling(1000), other.most_telling(1000)
-            other.take(one.take(told[1], NOW + 50), NOW + 50)
-            one.take(other.take(told[0], NOW + 50), NOW + 50)
-        self.assertEqual(one.tag, other.tag)
+            told = one.top_ends(1000), other.top_ends(1000)
+            other.merge_ends(one.merge_ends(told[1], NOW + 50), NOW + 50)
+            one.merge_ends(other.merge_ends(told[0], NOW + 50), NOW + 50)
+        self.assertEqual(one.fingerprint, other.fingerprint)
 
     def test_a_void_end_is_not_brought_back_by_an_older_word(self) -> None:
         quarantine = with_ends(1)
         word = NamedEnd(DEADLY, quarantine.ends_by_identity[DEADLY][1])
         quarantine.clear(DEADLY)
-        better = quarantine.take([word], NOW + 1)
+        better = quarantine.merge_ends([word], NOW + 1)
         self.assertTrue(better[0].end.void)
-        self.assertIs(quarantine.judge(DEADLY, NOW + 1, MANY).verdict, Verdict.FREE)
-        quarantine.prune(NOW + VOID_SECONDS)
+        self.assertIs(quarantine.assess(DEADLY, NOW + 1, MANY).verdict, Verdict.FREE)
+        quarantine.prune(NOW + VOID_RETENTION_SECONDS)
         self.assertFalse(quarantine.ends_by_identity)
 
 
@@ -344,7 +344,7 @@
                 self.sync(member, name)
 
     def sync(self, member: Member, host: str) -> None:
-        for data in member.news._encode_messages(member.quarantine.most_telling(100)):
+        for data in member.news._encode_messages(member.quarantine.top_ends(100)):
             self.carry(member.name, data, host)
 
     def join_sides(self) -> None:
@@ -378,8 +378,10 @@
         """A request at an instance: as the relay does it."""
         member = self.members[index]
         peers = [other.name for other in self.members if other is not member]
-        around = Surroundings(self.workers, turn=turn_of(identity, member.name, peers))
-        judgement = member.quarantine.judge(identity, self.now, around)
+        around = AssessmentContext(
+            self.workers, trial_rank=compute_trial_rank(identity, member.name, peers)
+        )
+        judgement = member.quarantine.assess(identity, self.now, around)
         suspected = judgement.verdict is Verdict.SUSPECTED
         held = suspected and member.quarantine.is_running(identity, self.now)
         if judgement.verdict is Verdict.QUARANTINED or held:
@@ -411,7 +413,7 @@
         self.close(attempt)
         self.open_by_worker[attempt.worker].remove(attempt)
         self.served[attempt.identity] = self.served.get(attempt.identity, 0) + 1
-        cleared = attempt.member.quarantine.note_good(attempt.identity, self.now)
+        cleared = attempt.member.quarantine.record_success(attempt.identity, self.now)
         if cleared:
             attempt.member.news.broadcast(cleared)
 
@@ -443,15 +445,15 @@
         for attempt in broken:
             unlikely = attempt.identity not in self.deadly and at - attempt.began > 0.35
             end = LifeEnd(life, at, unlikely=unlikely)
-            if attempt.member.quarantine.note_end(attempt.identity, end):
+            if attempt.member.quarantine.record_end(attempt.identity, end):
                 attempt.member.news.broadcast([NamedEnd(attempt.identity, end)])
         for attempt in broken:
             self.close(attempt)
-            judgement = attempt.member.quarantine.judge(
-                attempt.identity, self.now, Surroundings(self.workers, turn=1)
+            judgement = attempt.member.quarantine.assess(
+                attempt.identity, self.now, AssessmentContext(self.workers, trial_rank=1)
             )
             free = judgement.verdict is Verdict.FREE
-            again = free or (judgement.verdict is Verdict.SUSPECTED and judgement.may_try_again)
+            again = free or (judgement.verdict is Verdict.SUSPECTED and judgement.allows_retry)
             alive = attempt.member in self.members
             if attempt.tries < 2 and again and alive:
                 index = self.members.index(attempt.member)
--- a/pondpin/tests/test_relay_lifecycle.py
+++ b/pondpin/tests/test_relay_lifecycle.py
@@ -8,7 +8,7 @@
 from typing import Any
 from unittest import mock
 
-from pondpin.http_reply import Incoming
+from pondpin.http_reply import IncomingRequest
 from pondpin.http_streams import CallFailedError
 from pondpin.relay.call import Progress, RelayCall
 from pondpin.relay.choosing.planner import Plan
@@ -48,7 +48,7 @@
         make_call(5000),
         account=TENANT,
         metadata=RequestMetadata("a1", HOST, KEY, 10.0, 5000, 800, ""),
-        incoming=Incoming("POST", "/stream/x", {}, {}, b""),
+        incoming=IncomingRequest("POST", "/stream/x", {}, {}, b""),
     )
 
 
--- a/pondpin/tests/test_relay_limit_fleet.py
+++ b/pondpin/tests/test_relay_limit_fleet.py
@@ -13,8 +13,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from pondpin.limits import LimitWord, hear_limit
-from pondpin.pace import Pace, Permit
+from pondpin.limits import LimitReport, apply_limit
+from pondpin.pace import Pacer, Permit
 from pondpin.relay.model import ListedUpstream
 from pondpin.relay.peers.gossip import Gossip
 from pondpin.relay.peers.permit_broker import ANSWER_TIMEOUT_SECONDS, NoPermit, PermitBroker
@@ -80,7 +80,7 @@
         permit = self.permit(member)
         if permit is not None:
             found = next(item for item in self.upstreams if item.listed.life == permit.life)
-            self.send(member, found, permit.at)
+            self.send(member, found, permit.valid_from)
 
     def permit(self, member: Gossip) -> Permit | None:
         """What `Permits.take` does, with datagrams that arrive in simulated time."""
@@ -90,10 +90,10 @@
         """A request reaches its upstream, and its answer names the limit."""
         upstream.wishes.note(member.instance, at, False, 0.0, upstream.limit)
         standings = member.table.standings
-        if upstream.limit is None and not standings.names_limits:
+        if upstream.limit is None and not standings.any_limit_reported:
             return
-        word = LimitWord(upstream.limit, self.now, self.now, "its answer")
-        if hear_limit(standings, upstream.listed.life, word, self.now):
+        word = LimitReport(upstream.limit, self.now, self.now, "its answer")
+        if apply_limit(standings, upstream.listed.life, word, self.now):
             member.limits.sync.broadcast(upstream.listed.life, self.now)
 
     def load(self, seconds: float, rate: float, members: list[Gossip]) -> None:
@@ -311,29 +311,29 @@
     def test_any_window_holds_what_the_rate_allows_and_one(
         self, rate: float, gaps: list[float]
     ) -> None:
-        now, pace, taken = 0.0, Pace.begin(rate, 0.0), []
+        now, pace, taken = 0.0, Pacer.begin(rate, 0.0), []
         for gap in gaps:
             now += gap
-            if pace.free_at(now) <= now:
-                pace.take(rate, now)
+            if pace.available_at(now) <= now:
+                pace.issue(rate, now)
                 taken.append(now)
         for begin in taken:
             inside = [at for at in taken if begin <= at < begin + 4.0]
             self.assertLessEqual(len(inside), 4.125 * rate + 1 + 1e-6)
 
     def test_one_that_is_given_back_is_there_again(self) -> None:
-        pace = Pace.begin(1.0, 0.0)
-        pace.take(1.0, 1.0)
-        self.assertGreater(pace.free_at(1.0), 1.0)
-        pace.give_back(1.0)
-        self.assertEqual(pace.free_at(1.0), 1.0)
+        pace = Pacer.begin(1.0, 0.0)
+        pace.issue(1.0, 1.0)
+        self.assertGreater(pace.available_at(1.0), 1.0)
+        pace.release(1.0)
+        self.assertEqual(pace.available_at(1.0), 1.0)
 
     def test_a_new_limit_goes_behind_what_was_handed_out_ahead(self) -> None:
-        earlier = Pace.begin(6.0, 0.0)
+        earlier = Pacer.begin(6.0, 0.0)
         for _ in range(6):
-            earlier.take(6.0, earlier.due)
-        later = Pace.begin(3.0, 0.0)
-        later.follow(earlier, 6.0, 3.0, 0.0)
+            earlier.issue(6.0, earlier.due)
+        later = Pacer.begin(3.0, 0.0)
+        later.inherit(earlier, 6.0, 3.0, 0.0)
         self.assertAlmostEqual(later.due, 7 / 3)
 
 
--- a/pondpin/tests/test_relay_limit_log.py
+++ b/pondpin/tests/test_relay_limit_log.py
@@ -64,7 +64,7 @@
     def test_an_odd_value_is_told_once_and_changes_nothing(self) -> None:
         self.hear(limit=1.0)
         for _ in range(3):
-            self.hear(odd_limit="many")
+            self.hear(invalid_limit="many")
         line = self.lines("upstream_limit")[-1]
         self.assertEqual((line["odd"], line["limit"], line["before"]), ("many", 1.0, 1.0))
         self.assertEqual(len(self.lines("upstream_limit")), 2)
--- a/pondpin/tests/test_relay_notice_fleet.py
+++ b/pondpin/tests/test_relay_notice_fleet.py
@@ -159,7 +159,7 @@
         head = ResponseHead(status, "a", bool(life.rest), None, False, True, None, "", notice, ())
         instance.hearing.handle_head(SentRequest(state.id, state.life, REQUEST, now), head)
         if not life.rest:
-            state.standing.note_taken(now)
+            state.standing.record_accepted(now)
 
     def all_wishes(self) -> list[Wishes]:
         return [life.wishes for life in (*self.lives, *self.ended)]
--- a/pondpin/tests/test_relay_notice_matrix.py
+++ b/pondpin/tests/test_relay_notice_matrix.py
@@ -14,7 +14,7 @@
 
 from pondpin.codes import Code
 from pondpin.http_streams import CallFailedError
-from pondpin.limits import LimitWord, hear_limit
+from pondpin.limits import LimitReport, apply_limit
 from pondpin.notices import Notice
 from pondpin.relay.attempts.send_checks import SendChecks
 from pondpin.relay.entry import RelayEntry
@@ -204,7 +204,7 @@
     def name_limit(self, entry: RelayEntry, name: str = "plain-0") -> UpstreamState:
         state = state_of(entry, name)
         now = entry.handler.clock()
-        hear_limit(entry.table.standings, state.life, LimitWord(2.0, now, now, "test"), now)
+        apply_limit(entry.table.standings, state.life, LimitReport(2.0, now, now, "test"), now)
         return state
 
     def limited(self, entry: RelayEntry) -> list[str]:
@@ -213,11 +213,11 @@
     def test_who_leaves_or_rests_hands_out_nothing(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             entry = platform.entries[0]
-            for notice in (Notice(rest=60.0), Notice(leaves=True)):
+            for notice in (Notice(rest=60.0), Notice(is_leaving=True)):
                 state = self.name_limit(entry)
                 self.assertEqual(self.limited(entry), ["plain-0"])
                 now = entry.handler.clock()
-                entry.table.standings.hear(state.life, notice, "test", now)
+                entry.table.standings.apply_notice(state.life, notice, "test", now)
                 self.assertEqual(self.limited(entry), [])
                 entry.table.standings.by_life[state.life].rest = None
 
--- a/pondpin/tests/test_relay_notice_paths.py
+++ b/pondpin/tests/test_relay_notice_paths.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from pondpin.codes import INFO_BY_CODE, Code
-from pondpin.http_client import Answer
-from pondpin.http_connections import CheckedConnections
+from pondpin.http_client import HttpResponse
+from pondpin.http_connections import CheckedConnectionPool
 from pondpin.metrics import Metrics
 from pondpin.notices import Notice
 from pondpin.relay.attempts.passive_health import PassiveHealth
@@ -27,7 +27,7 @@
 from pondpin.relay.upstreams.probe import is_probe_due
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.table import UpstreamTable
-from pondpin.standing import Bar
+from pondpin.standing import BlockReason
 from pondpin.standins.local_platform import ENGINES, PLAIN, LocalPlatform
 from pondpin.standins.published_store import StoreFault
 from pondpin.standins.store_state import UPSTREAMS_PREFIX
@@ -61,14 +61,14 @@
     return entry.metrics.render("")[0].decode()
 
 
-def code_of(answer: Answer) -> str:
+def code_of(answer: HttpResponse) -> str:
     return answer.body.decode().partition('"name":"')[2].partition('"')[0]
 
 
 class AnswersTest(RelayTest):
     """Which answers are believed, and of whom."""
 
-    def heard(self, platform: LocalPlatform, name: str) -> Bar:
+    def heard(self, platform: LocalPlatform, name: str) -> BlockReason:
         entry = platform.entries[0]
         return state_of(entry, name).bar(entry.handler.clock())
 
@@ -80,15 +80,15 @@
                 entry.table.standings.by_life.clear()
                 entry.table._left.clear()
                 for state in entry.table.by_id.values():
-                    state.standing = entry.table.standings.of(state.life)
+                    state.standing = entry.table.standings.get_or_create(state.life)
                 worker.says_leaving = True
                 fail_next(platform, fault, times=9)
                 for number in range(4):
                     await ask(platform, "again", f"relay-0.{fault.value}{number}")
                 fail_next(platform, WorkerFault.NONE, 0)
                 with self.subTest(fault):
-                    self.assertIs(self.heard(platform, "plain-0"), Bar.LEAVES)
-                    self.assertIs(self.heard(platform, "plain-1"), Bar.NONE)
+                    self.assertIs(self.heard(platform, "plain-0"), BlockReason.LEAVING)
+                    self.assertIs(self.heard(platform, "plain-1"), BlockReason.NONE)
 
         self.play(work)
 
@@ -101,13 +101,13 @@
             state.needs_probe = True
             await platform.until(lambda: state.leaving)
             await entry.lazy.reports.query_status(state_of(entry, "engine-0"))
-            self.assertIs(self.heard(platform, "engine-0"), Bar.LEAVES)
+            self.assertIs(self.heard(platform, "engine-0"), BlockReason.LEAVING)
             engine = state_of(entry, "engine-1")
             listed = engine.listed
             part = PartAssignment(listed.id, listed.host, listed.port, life=listed.life)
             group, _ = await entry.lazy.leases.acquire("r", (part,), 100)
             self.assertIsNotNone(group)
-            self.assertIs(self.heard(platform, "engine-1"), Bar.LEAVES)
+            self.assertIs(self.heard(platform, "engine-1"), BlockReason.LEAVING)
 
         self.play(work)
 
@@ -118,10 +118,10 @@
             worker.says_leaving = True
             worker.faults = [WorkerFault.UNSIGNED] * 2
             await ask(platform, "again", "relay-0.first")
-            self.assertIs(self.heard(platform, "plain-0"), Bar.NONE)
+            self.assertIs(self.heard(platform, "plain-0"), BlockReason.NONE)
             worker.faults = [WorkerFault.FOREIGN] * 2
             await ask(platform, "again", "relay-0.second")
-            self.assertIs(self.heard(platform, "plain-0"), Bar.LEAVES)
+            self.assertIs(self.heard(platform, "plain-0"), BlockReason.LEAVING)
 
         self.play(work)
 
@@ -136,7 +136,7 @@
             said = [
                 name
                 for name in ("new-plain-0", "new-plain-1")
-                if standings.of(life_of(name, None)).leaving is not None
+                if standings.get_or_create(life_of(name, None)).leaving is not None
             ]
             self.assertTrue(said)
 
@@ -265,28 +265,28 @@
     def bar_on(self, entry: RelayEntry, service: str, notice: Notice) -> Any:
         """While a connection is opened, its upstream says something in another answer."""
         table, clock = entry.table, entry.handler.clock
-        found = CheckedConnections.getConnection
+        found = CheckedConnectionPool.getConnection
         barred: list[str] = []
 
-        def connect(pool: CheckedConnections, key: Any, endpoint: Any) -> Any:
+        def connect(pool: CheckedConnectionPool, key: Any, endpoint: Any) -> Any:
             for state in table.of_service(service):
                 is_it = key[1:] == (state.listed.host.encode(), state.listed.port)
                 if is_it and not barred:
                     barred.append(state.id)
-                    table.standings.hear(state.life, notice, "test", clock())
+                    table.standings.apply_notice(state.life, notice, "test", clock())
             return found(pool, key, endpoint)
 
-        return mock.patch.object(CheckedConnections, "getConnection", connect), barred
+        return mock.patch.object(CheckedConnectionPool, "getConnection", connect), barred
 
     def test_a_word_that_comes_while_it_connects_is_heeded(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             entry = platform.entries[0]
             for route, service in (("once", PLAIN), ("again", PLAIN), ("stream", ENGINES)):
-                for notice in (Notice(leaves=True), Notice(rest=5.0)):
+                for notice in (Notice(is_leaving=True), Notice(rest=5.0)):
                     entry.table.standings.by_life.clear()
                     entry.table._left.clear()
                     for state in entry.table.by_id.values():
-                        state.standing = entry.table.standings.of(state.life)
+                        state.standing = entry.table.standings.get_or_create(state.life)
                     for worker in platform.workers_by_id.values():
                         worker.wishes.arrivals.clear()
                     patch, barred = self.bar_on(entry, service, notice)
@@ -313,7 +313,7 @@
                 result = await take(request, places, tokens)
                 if not barred and places:
                     barred.append(places[0].upstream)
-                    entry.table.standings.hear(
+                    entry.table.standings.apply_notice(
                         places[0].life, Notice(rest=5.0), "test", entry.handler.clock()
                     )
                 return result
@@ -343,7 +343,7 @@
             broken.faults = [WorkerFault.CUT] * 99
             entry = platform.entries[0]
             life, now = state_of(entry, resting.id).life, entry.handler.clock()
-            entry.table.standings.hear(life, Notice(rest=60.0), "test", now)
+            entry.table.standings.apply_notice(life, Notice(rest=60.0), "test", now)
             for number in range(24):
                 answer = await ask(platform, "stream", f"relay-0.s{number}")
                 self.assertEqual(answer.status, 200)
@@ -408,7 +408,7 @@
             await ask(platform, "again", "relay-0.first")
             now = entry.handler.clock()
             for state in entry.table.of_service(PLAIN):
-                self.assertIs(state.bar(now), Bar.RESTS)
+                self.assertIs(state.bar(now), BlockReason.RESTING)
                 self.assertEqual((state.health.failures, state.health.ejections), (0, 0))
                 self.assertEqual(state.failure_rate.current(now), 0.0)
                 state.needs_probe = True
--- a/pondpin/tests/test_relay_quarantine.py
+++ b/pondpin/tests/test_relay_quarantine.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from pondpin.codes import Code
-from pondpin.http_client import Answer, Reach
+from pondpin.http_client import ConnectOutcome, HttpResponse
 from pondpin.http_streams import CallFailedError
 from pondpin.network import Endpoint
 from pondpin.quarantine import LifeEnd, Verdict
@@ -27,7 +27,7 @@
 from pondpin.relay.entry import RelayEntry
 from pondpin.relay.lazy_components import QUARANTINE_PATH
 from pondpin.relay.operator_api import held_requests
-from pondpin.request_identity import identify, make_key, show
+from pondpin.request_identity import derive_key, format_identity, identify
 from pondpin.standins.local_platform import (
     ENGINES,
     HOST,
@@ -56,7 +56,7 @@
     return sum(worker.crashes for worker in platform.workers_by_id.values())
 
 
-async def ask_deadly(platform: LocalPlatform, route: str, number: int) -> Answer | None:
+async def ask_deadly(platform: LocalPlatform, route: str, number: int) -> HttpResponse | None:
     """A repeat at the next instance; None when the answer broke off."""
     instance = number % len(platform.entries)
     try:
@@ -99,7 +99,7 @@
 
 def identity_of(route: str, body: bytes = DEADLY) -> int:
     """The identity of a request of `ask`."""
-    return identify(make_key(IDENTITY_KEY), TENANT, HOST, f"/{route}/x?y=1;z".encode(), body)
+    return identify(derive_key(IDENTITY_KEY), TENANT, HOST, f"/{route}/x?y=1;z".encode(), body)
 
 
 def ends_of(entry: RelayEntry, identity: int) -> list[LifeEnd]:
@@ -205,8 +205,8 @@
             first = platform.entries[0]
             fail_next(platform, WorkerFault.RESET)
 
-            async def refuse(host: str, port: int) -> Reach:
-                return Reach.REFUSED
+            async def refuse(host: str, port: int) -> ConnectOutcome:
+                return ConnectOutcome.REFUSED
 
             with mock.patch.object(first.crash_guard.tracker, "reach", refuse):
                 await ask(platform, "again", "a1")
@@ -214,7 +214,7 @@
             state, other = first.table.of_service(PLAIN)[:2]
             now = first.crash_guard.clock()
             for identity, place in ((7, state), (8, other)):
-                first.crash_guard.quarantine.note_end(identity, LifeEnd(place.life, now))
+                first.crash_guard.quarantine.record_end(identity, LifeEnd(place.life, now))
                 run = first.crash_guard.tracker.begin(9, (place,), 0.0)
                 run.began = now - 1.0 if identity == 7 else now + 0.5
                 run.last_data_at = place.last_seen_at = now + 1.0
@@ -230,8 +230,8 @@
             first = platform.entries[0]
             state = first.table.of_service(ENGINES)[0]
             now = first.crash_guard.clock()
-            first.crash_guard.quarantine.note_end(7, LifeEnd(state.life, now - LIST_LAG_SECONDS))
-            first.crash_guard.quarantine.note_end(8, LifeEnd(12345, now - LIST_LAG_SECONDS))
+            first.crash_guard.quarantine.record_end(7, LifeEnd(state.life, now - LIST_LAG_SECONDS))
+            first.crash_guard.quarantine.record_end(8, LifeEnd(12345, now - LIST_LAG_SECONDS))
             with mock.patch.object(first.crash_guard, "list_at", lambda: now + 1.0):
                 first.crash_guard.step(now + 1.0)
             self.assertEqual((ends_of(first, 7), len(ends_of(first, 8))), ([], 1))
@@ -288,7 +288,7 @@
         now = entry.crash_guard.clock()
         for life in range(ends):
             end = LifeEnd(1000 + life, now, settled=True)
-            entry.crash_guard.quarantine.note_end(identity, end)
+            entry.crash_guard.quarantine.record_end(identity, end)
 
     def test_a_quarantined_request_is_refused_at_once_and_truly_has_not_run(self) -> None:
         async def work(platform: LocalPlatform) -> None:
@@ -374,7 +374,7 @@
 
         self.play(work)
 
-    async def ask_long(self, platform: LocalPlatform, attempt: str, body: bytes) -> Answer:
+    async def ask_long(self, platform: LocalPlatform, attempt: str, body: bytes) -> HttpResponse:
         tokens, deadline = "300000,300", "15000"
         return await ask(
             platform, "long", attempt, body=body, x_token_usage=tokens, x_deadline_ms=deadline
@@ -388,10 +388,10 @@
             fail_next(platform, WorkerFault.RESET)
             looking, looked = asyncio.Event(), asyncio.Event()
 
-            async def reach(host: str, port: int) -> Reach:
+            async def reach(host: str, port: int) -> ConnectOutcome:
                 looking.set()
                 await looked.wait()
-                return Reach.SILENT
+                return ConnectOutcome.UNREACHABLE
 
             with (
                 mock.patch.object(first.crash_guard.tracker, "reach", reach),
@@ -439,7 +439,7 @@
                 await ask_deadly(platform, "stream", number)
             answers = await asyncio.gather(*beside)
             self.assertEqual({answer.status for answer in answers}, {200})
-            expected = show(identity_of("stream"))
+            expected = format_identity(identity_of("stream"))
             for entry in platform.entries:
                 await platform.until(lambda entry=entry: suspects(entry) == [expected])
 
@@ -469,7 +469,7 @@
             await platform.until(lambda: platform.entries[1].ready)
             identity = identity_of("stream")
             judgement = held_requests(platform.entries[1].crash_guard)
-            self.assertEqual([item.identity for item in judgement], [show(identity)])
+            self.assertEqual([item.identity for item in judgement], [format_identity(identity)])
             await ask_deadly(platform, "stream", 1)
             self.assertEqual(crashes(platform), ended)
 
@@ -485,7 +485,7 @@
             place = first.metrics_server.listen(platform.reactor, Endpoint("127.0.0.1", 0))
             url = f"http://{place}{QUARANTINE_PATH}"
             shown = msgspec.json.decode((await platform.http.call("GET", url)).body)["requests"]
-            name = show(identity_of("stream"))
+            name = format_identity(identity_of("stream"))
             self.assertEqual(
                 [(item["identity"], item["verdict"]) for item in shown],
                 [(name, Verdict.QUARANTINED.value)],
--- a/pondpin/tests/test_relay_serving.py
+++ b/pondpin/tests/test_relay_serving.py
@@ -120,7 +120,7 @@
             window.bounds = RetryBounds(0.0, 0.0, 10.0)
             gone = platform.workers_by_id["plain-0"]
             await gone.server.close()
-            gone.server.cut()
+            gone.server.abort_connections()
             for number in range(4):
                 answer = await ask(platform, "once", f"n{number}")
                 self.assertEqual(answer.status, 200)
@@ -132,7 +132,7 @@
         async def work(platform: LocalPlatform) -> None:
             gone = platform.workers_by_id["plain-0"]
             await gone.server.close()
-            gone.server.cut()
+            gone.server.abort_connections()
             for number in range(4):
                 answer = await ask(platform, "once", f"n{number}")
                 self.assertEqual(answer.status, 200)
--- a/pondpin/tests/test_relay_streams.py
+++ b/pondpin/tests/test_relay_streams.py
@@ -146,7 +146,7 @@
 
             async def run_and_leave(call: RelayCall, *others: Any) -> AttemptEnd:
                 end = await run(call, *others)
-                call.reply.mark_gone()
+                call.reply.mark_disconnected()
                 return end
 
             fail_next(platform, WorkerFault.SHED)
--- a/pondpin/tests/test_relay_unlisted_life.py
+++ b/pondpin/tests/test_relay_unlisted_life.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from pondpin.standing import Bar, Rest, Standing
+from pondpin.standing import Availability, BlockReason, Rest
 from pondpin.standins.local_platform import PLAIN, LocalPlatform
 from pondpin.standins.wishes import windows_over
 from pondpin.tests.support import RelayTest, ask
@@ -42,10 +42,10 @@
 
     def test_rest_of_the_earlier_life_does_not_bind_the_later_one(self) -> None:
         for asked_at, is_kept in ((9.0, False), (11.0, True)):
-            earlier, later = Standing(), Standing()
+            earlier, later = Availability(), Availability()
             earlier.rest = Rest(asked_at, 70.0, 70.0)
             later.inherit_rest(earlier, since=10.0)
-            self.assertEqual(later.bar(20.0) is Bar.RESTS, is_kept)
+            self.assertEqual(later.block_reason(20.0) is BlockReason.RESTING, is_kept)
 
 
 if __name__ == "__main__":
--- a/pondpin/tests/test_restore_machine.py
+++ b/pondpin/tests/test_restore_machine.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from pondpin.http_client import Answer, HttpClient
-from pondpin.http_streams import CallFailedError, StreamStart
+from pondpin.http_client import HttpClient, HttpResponse
+from pondpin.http_streams import CallFailedError, StreamedResponse
 from pondpin.platform.documents import PlatformDecoder
 from pondpin.platform.store import PlatformStore
 from pondpin.relay.model import RelayConfiguration
@@ -50,14 +50,14 @@
         self.events_by_call: dict[int, tuple[bool, Event]] = {}
         self.calls = 0
 
-    async def call_while_moving(
+    async def call_with_stall_timeout(
         self,
         method: str,
         url: str,
         stall: float,
         longest: float,
-        on_head: Callable[[StreamStart], None] = lambda start: None,
-    ) -> Answer:
+        on_head: Callable[[StreamedResponse], None] = lambda start: None,
+    ) -> HttpResponse:
         is_late, event = self.events_by_call.pop(self.calls, (False, lambda: None))
         self.calls += 1
         if not is_late:
@@ -66,8 +66,8 @@
         headers = {name.lower(): value for name, value in self.store.epoch_headers.items()}
         if is_late:
             event()
-        on_head(StreamStart(answer.status, headers, None))
-        return Answer(answer.status, headers, msgspec.json.encode(answer.document))
+        on_head(StreamedResponse(answer.status, headers, None))
+        return HttpResponse(answer.status, headers, msgspec.json.encode(answer.document))
 
 
 class Member:
--- a/pondpin/tests/test_run_tracker.py
+++ b/pondpin/tests/test_run_tracker.py
@@ -13,7 +13,7 @@
 import os
 import unittest
 
-from pondpin.http_client import Reach
+from pondpin.http_client import ConnectOutcome
 from pondpin.relay.attempts.run_tracker import RunTracker
 from pondpin.relay.log import EventLog
 from pondpin.relay.model import ListedUpstream
@@ -21,8 +21,8 @@
 from pondpin.tests.support import FakeClock
 
 
-async def reach(host: str, port: int) -> Reach:
-    return Reach.REFUSED
+async def reach(host: str, port: int) -> ConnectOutcome:
+    return ConnectOutcome.REFUSED
 
 
 class HelperTest(unittest.TestCase):
--- a/pondpin/tests/test_store_epochs.py
+++ b/pondpin/tests/test_store_epochs.py
@@ -4,8 +4,8 @@
 import unittest
 from collections.abc import Callable
 
-from pondpin.http_client import Answer, HttpClient
-from pondpin.http_streams import CallFailedError, StreamStart
+from pondpin.http_client import HttpClient, HttpResponse
+from pondpin.http_streams import CallFailedError, StreamedResponse
 from pondpin.platform.store import PlatformStore, parse_source_head
 from pondpin.relay.ports import ConfigurationChange, ConfigurationRead, EpochChangedError
 from pondpin.relay.ports import SourceHead as Head
@@ -115,18 +115,18 @@
     def __init__(self, *pages: tuple[str, bytes]) -> None:
         self.pages = list(pages)
 
-    async def call_while_moving(
+    async def call_with_stall_timeout(
         self,
         method: str,
         url: str,
         stall: float,
         longest: float,
-        on_head: Callable[[StreamStart], None] = lambda start: None,
-    ) -> Answer:
+        on_head: Callable[[StreamedResponse], None] = lambda start: None,
+    ) -> HttpResponse:
         epoch, body = self.pages.pop(0)
         headers = {HEADER: epoch}
-        on_head(StreamStart(200, headers, None))
-        return Answer(200, headers, body)
+        on_head(StreamedResponse(200, headers, None))
+        return HttpResponse(200, headers, body)
 
 
 class PagesTest(unittest.TestCase):
--- a/pondpin/tests/test_suspended.py
+++ b/pondpin/tests/test_suspended.py
@@ -13,12 +13,12 @@
 from typing import Any
 from unittest import mock
 
-from pondpin.health import Health, note_failure
+from pondpin.health import Health, record_failure
 from pondpin.http_client import HttpClient
-from pondpin.http_reply import Incoming, Reply
+from pondpin.http_reply import IncomingRequest, Reply
 from pondpin.http_server import WebServer
 from pondpin.network import Endpoint
-from pondpin.quarantine import LifeEnd, Quarantine, Surroundings, Verdict, quarantine_seconds
+from pondpin.quarantine import AssessmentContext, LifeEnd, Quarantine, Verdict, quarantine_seconds
 from pondpin.relay.attempts.attempt import AttemptRunner
 from pondpin.relay.call import Progress
 from pondpin.relay.choosing.planner import Plan
@@ -74,7 +74,7 @@
         self.assertEqual(table.alive(steady_now()), [])
 
     def test_an_ejection_is_over(self) -> None:
-        health = note_failure(Health(), steady_now(), certain=True)
+        health = record_failure(Health(), steady_now(), certain=True)
         self.assertTrue(health.is_ejected(steady_now()))
         self.suspend()
         self.assertFalse(health.is_ejected(steady_now()))
@@ -89,12 +89,12 @@
     def test_a_quarantine_has_lapsed(self) -> None:
         quarantine = Quarantine()
         for life in range(3):
-            quarantine.note_end(1, LifeEnd(life, steady_now()))
-        around = Surroundings(lives=18)
-        verdict = quarantine.judge(1, steady_now(), around).verdict
+            quarantine.record_end(1, LifeEnd(life, steady_now()))
+        around = AssessmentContext(upstream_count=18)
+        verdict = quarantine.assess(1, steady_now(), around).verdict
         self.assertIs(verdict, Verdict.QUARANTINED)
         self.suspend(quarantine_seconds(3))
-        verdict = quarantine.judge(1, steady_now(), around).verdict
+        verdict = quarantine.assess(1, steady_now(), around).verdict
         self.assertIs(verdict, Verdict.SUSPECTED)
 
     def test_the_time_that_is_left_goes_to_the_upstream(self) -> None:
@@ -198,7 +198,7 @@
             reactor = the_loop()[1]
             server = WebServer(reactor)
 
-            async def answer(incoming: Incoming, reply: Reply) -> None:
+            async def answer(incoming: IncomingRequest, reply: Reply) -> None:
                 reply.send(200, {}, b"")
 
             server.route("", answer)
@@ -220,7 +220,7 @@
             self.assertIsNot(used[1], used[2])
             await client.close()
             await server.close()
-            server.cut()
+            server.abort_connections()
 
         self.play(work)
 
--- a/pondpin/tools/caller.py
+++ b/pondpin/tools/caller.py
@@ -9,7 +9,7 @@
 from pondpin.codes import Code, Ran
 from pondpin.http_client import HttpClient
 from pondpin.http_reply import ErrorAnswer
-from pondpin.http_streams import CallFailedError, OpenStream
+from pondpin.http_streams import CallFailedError, ResponseStream
 from pondpin.standins.engine_model import answer_seed, token_text
 from pondpin.tools.balancer import Balancer
 
@@ -215,7 +215,7 @@
             asked.request, asked.retry_after = error.request, error.retry_after
             return True
         asked.request = start.headers.get("pondpin-request", asked.request)
-        stream: OpenStream = start.deliver(reader)
+        stream: ResponseStream = start.deliver(reader)
         try:
             return await reader.ended
         finally:
--- a/pondpin/tools/capacity.py
+++ b/pondpin/tools/capacity.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from pondpin.runtime import Ready, run_command
+from pondpin.runtime import ParsedCommand, run_command
 from pondpin.tools.reference import DOCS
 
 SLOPES = DOCS / "slopes.json"
@@ -175,7 +175,7 @@
     return "\n".join(lines)
 
 
-def capacity(slopes: str = str(SLOPES)) -> Ready:
+def capacity(slopes: str = str(SLOPES)) -> ParsedCommand:
     """Print the table of one node at the target."""
 
     def start() -> int:
@@ -183,7 +183,7 @@
         print(show_table(make_rows(measured, Target())))
         return 0
 
-    return Ready(start)
+    return ParsedCommand(start)
 
 
 if __name__ == "__main__":
--- a/pondpin/tools/ctl.py
+++ b/pondpin/tools/ctl.py
@@ -16,7 +16,7 @@
 from pondpin.filters.rule import find_length_class, find_rule
 from pondpin.fleet import label_upstream
 from pondpin.reading import read_or_exit
-from pondpin.runtime import USAGE_STATUS, Ready, run_command
+from pondpin.runtime import USAGE_STATUS, ParsedCommand, run_command
 from pondpin.selectors import SelectorError, parse_selector
 from pondpin.settings import read_settings, settings_schema
 from pondpin.tools.authority import make_authority, make_certificate
@@ -37,7 +37,7 @@
     return read_or_exit(PROGRAM, path, read_configuration, FAULT_STATUS)
 
 
-def check(file: str) -> Ready:
+def check(file: str) -> ParsedCommand:
     """Check a configuration file as an instance would."""
 
     def start() -> int:
@@ -49,10 +49,10 @@
         print(f"{file} is sound: {counts}")
         return 0
 
-    return Ready(start)
+    return ParsedCommand(start)
 
 
-def check_settings(file: str) -> Ready:
+def check_settings(file: str) -> ParsedCommand:
     """Check the settings file of an instance."""
 
     def start() -> int:
@@ -60,10 +60,10 @@
         print(f"{file} is sound: instance {settings.instance} in {settings.data_center}")
         return 0
 
-    return Ready(start)
+    return ParsedCommand(start)
 
 
-def diff(old: str, new: str) -> Ready:
+def diff(old: str, new: str) -> ParsedCommand:
     """Say in words what a new configuration file would change."""
 
     def start() -> int:
@@ -71,10 +71,10 @@
         print("\n".join(lines) if lines else "nothing changes")
         return 0
 
-    return Ready(start)
+    return ParsedCommand(start)
 
 
-def match(file: str, selector: str = "", request: str = "") -> Ready:
+def match(file: str, selector: str = "", request: str = "") -> ParsedCommand:
     """Show which upstreams a selector takes, and which rule takes a request of labels a=b,c=d."""
 
     def start() -> int:
@@ -94,7 +94,7 @@
             _show_rule(configuration, request)
         return 0 if rows else NOTHING_STATUS
 
-    return Ready(start)
+    return ParsedCommand(start)
 
 
 def _show_rule(configuration: Configuration, request: str) -> None:
@@ -106,7 +106,7 @@
     print(f"class {labels['class']}; rule {rule.name if rule is not None else 'none: refused'}")
 
 
-def status(at: str = DEFAULT_AT, json: bool = False) -> Ready:
+def status(at: str = DEFAULT_AT, json: bool = False) -> ParsedCommand:
     """Show what is in force on an instance and its peers."""
 
     async def asking(client: OperatorClient, console: Console) -> int:
@@ -133,7 +133,7 @@
     return ""
 
 
-def upstreams(at: str = DEFAULT_AT, json: bool = False) -> Ready:
+def upstreams(at: str = DEFAULT_AT, json: bool = False) -> ParsedCommand:
     """Show the upstreams as an instance knows them."""
 
     async def asking(client: OperatorClient, console: Console) -> int:
@@ -151,17 +151,17 @@
     return ask_instances(asking)
 
 
-def rules(at: str = DEFAULT_AT, json: bool = False) -> Ready:
+def rules(at: str = DEFAULT_AT, json: bool = False) -> ParsedCommand:
     """Show the rules in force on an instance."""
     return _show_part(at, json, "rules")
 
 
-def accounts(at: str = DEFAULT_AT, json: bool = False) -> Ready:
+def accounts(at: str = DEFAULT_AT, json: bool = False) -> ParsedCommand:
     """Show the client accounts in force on an instance, without their keys."""
     return _show_part(at, json, "accounts")
 
 
-def labels(at: str = DEFAULT_AT, json: bool = False) -> Ready:
+def labels(at: str = DEFAULT_AT, json: bool = False) -> ParsedCommand:
     """Show the labels of the upstreams known to an instance."""
 
     async def asking(client: OperatorClient, console: Console) -> int:
@@ -176,7 +176,7 @@
     return ask_instances(asking)
 
 
-def _show_part(at: str, as_json: bool, part: str) -> Ready:
+def _show_part(at: str, as_json: bool, part: str) -> ParsedCommand:
     async def asking(client: OperatorClient, console: Console) -> int:
         document = (await client.get_json(at, "/v1/configuration"))[part]
         if isinstance(document, dict):
@@ -202,7 +202,7 @@
     limit: int = 1,
     at: str = DEFAULT_AT,
     json: bool = False,
-) -> Ready:
+) -> ParsedCommand:
     """Say why a request went where it went, waited or was refused."""
 
     async def asking(client: OperatorClient, console: Console) -> int:
@@ -226,7 +226,7 @@
     return ask_instances(asking)
 
 
-def instances(at: str = DEFAULT_AT, json: bool = False) -> Ready:
+def instances(at: str = DEFAULT_AT, json: bool = False) -> ParsedCommand:
     """Show what each of several instances (IP:port,IP:port) has in force."""
 
     async def asking(client: OperatorClient, console: Console) -> int:
@@ -262,17 +262,17 @@
     return ask_instances(asking)
 
 
-def drain(at: str) -> Ready:
+def drain(at: str) -> ParsedCommand:
     """Make an instance not ready; what is in flight goes on."""
     return _act(at, "/v1/drain")
 
 
-def undrain(at: str) -> Ready:
+def undrain(at: str) -> ParsedCommand:
     """Make a drained instance ready again."""
     return _act(at, "/v1/undrain")
 
 
-def _act(at: str, path: str) -> Ready:
+def _act(at: str, path: str) -> ParsedCommand:
     async def asking(client: OperatorClient, console: Console) -> int:
         print((await client.post(at, path)).decode())
         return 0
@@ -280,7 +280,7 @@
     return ask_instances(asking)
 
 
-def schema(of: str = "configuration") -> Ready:
+def schema(of: str = "configuration") -> ParsedCommand:
     """Print the JSON schema of the configuration or of the settings."""
 
     def start() -> int:
@@ -291,20 +291,20 @@
         print_json(known[of]())
         return 0
 
-    return Ready(start)
+    return ParsedCommand(start)
 
 
-def authority(folder: str) -> Ready:
+def authority(folder: str) -> ParsedCommand:
     """Make a test authority in a folder."""
 
     def start() -> int:
         make_authority(Path(folder), datetime.datetime.now(datetime.UTC))
         return 0
 
-    return Ready(start)
+    return ParsedCommand(start)
 
 
-def certificate(folder: str, name: str, address: str) -> Ready:
+def certificate(folder: str, name: str, address: str) -> ParsedCommand:
     """Make a certificate for an IP number, signed by the folder's authority."""
 
     def start() -> int:
@@ -316,7 +316,7 @@
             return FAULT_STATUS
         return 0
 
-    return Ready(start)
+    return ParsedCommand(start)
 
 
 COMMANDS = {
--- a/pondpin/tools/demo.py
+++ b/pondpin/tools/demo.py
@@ -15,7 +15,14 @@
 from pondpin.http_client import HttpClient
 from pondpin.http_streams import CallFailedError
 from pondpin.invariants import INVARIANTS
-from pondpin.runtime import Ready, run, run_command, set_up_logs, steady_now, stop_on_signals
+from pondpin.runtime import (
+    ParsedCommand,
+    run,
+    run_command,
+    set_up_logs,
+    steady_now,
+    stop_on_signals,
+)
 from pondpin.standins.engine_model import EngineShape
 from pondpin.standins.local_fleet import EngineSpec, EntrySpec, FleetSpec, LocalFleet, ServiceSpec
 from pondpin.tools.balancer import Balancer
@@ -323,7 +330,7 @@
     )
 
 
-def demo(hold: bool = False) -> Ready:
+def demo(hold: bool = False) -> ParsedCommand:
     """Run the demonstration; with --hold keep the deployment up afterwards."""
 
     async def work(reactor: Any) -> int:
@@ -347,7 +354,7 @@
         logging.set_stderrthreshold("error")
         return run(work)
 
-    return Ready(start)
+    return ParsedCommand(start)
 
 
 def main() -> None:
--- a/pondpin/tools/document_fleet.py
+++ b/pondpin/tools/document_fleet.py
@@ -17,7 +17,7 @@
 from pondpin.controllers.base import Controller
 from pondpin.errors import PeerUnreachableError
 from pondpin.http_client import HttpClient
-from pondpin.http_streams import StreamStart
+from pondpin.http_streams import StreamedResponse
 from pondpin.platform.documents import PlatformDecoder
 from pondpin.platform.store import PlatformStore
 from pondpin.relay.entry import PEERS_FIRST_SECONDS
@@ -147,7 +147,7 @@
         headers: dict[str, str] | None = None,
         body: bytes = b"",
         fresh: bool = False,
-    ) -> StreamStart:
+    ) -> StreamedResponse:
         """Answer a call after the way there and back."""
         await asyncio.sleep(2 * DELAY_SECONDS)
         if self.silent or self._store.away:
@@ -156,7 +156,7 @@
         headers = {name.lower(): value for name, value in self._store.epoch_headers.items()}
         content = msgspec.json.encode(answer.document)
         await asyncio.sleep(self._rng.uniform(*self.late_seconds))
-        return StreamStart(answer.status, headers, _SlowResponse(content, self._link))
+        return StreamedResponse(answer.status, headers, _SlowResponse(content, self._link))
 
 
 class _CountingLog(EventLog):
--- a/pondpin/tools/load.py
+++ b/pondpin/tools/load.py
@@ -12,7 +12,7 @@
 
 from pondpin.http_client import HttpClient
 from pondpin.network import parse_endpoint
-from pondpin.runtime import Ready, run, run_command, set_up_logs, steady_now
+from pondpin.runtime import ParsedCommand, run, run_command, set_up_logs, steady_now
 from pondpin.tools.balancer import Balancer
 from pondpin.tools.caller import Caller
 from pondpin.tools.experiment import CellResult, Experiment, ExperimentResult, read_experiment
@@ -41,7 +41,7 @@
     return FAULT_STATUS
 
 
-def cell(experiment: str, variant: str, load: float, seed: int) -> Ready:
+def cell(experiment: str, variant: str, load: float, seed: int) -> ParsedCommand:
     """Run one cell of an experiment in this process; prints its result as one JSON line."""
 
     async def work(reactor: Any) -> int:
@@ -55,10 +55,10 @@
         logging.set_verbosity(logging.FATAL)
         return run(work)
 
-    return Ready(start)
+    return ParsedCommand(start)
 
 
-def experiment(file: str, out: str = "out") -> Ready:
+def experiment(file: str, out: str = "out") -> ParsedCommand:
     """Run all cells of an experiment; writes JSON and a plot, and prints tables."""
 
     def start() -> int:
@@ -69,7 +69,7 @@
             return _complain(f"{file}: {error}")
         return asyncio.run(_run_all(path, described, Path(out)))
 
-    return Ready(start)
+    return ParsedCommand(start)
 
 
 async def _run_all(path: Path, described: Experiment, out: Path) -> int:
@@ -103,7 +103,7 @@
 
 def send(
     entries: str, traffic: str = "", rate: float = 10.0, seconds: float = 10.0, seed: int = 1
-) -> Ready:
+) -> ParsedCommand:
     """Send Poisson traffic to running instances at IP:port,IP:port."""
     path = Path(traffic) if traffic else SAMPLES / "traffic.json"
 
@@ -114,12 +114,12 @@
     return _against(entries, arrivals)
 
 
-def trace(entries: str, file: str, key: str, model: str, speed: float = 1.0) -> Ready:
+def trace(entries: str, file: str, key: str, model: str, speed: float = 1.0) -> ParsedCommand:
     """Replay a JSONL trace of timestamp, input_length, output_length and hash_ids."""
     return _against(entries, lambda: read_trace(Path(file), key, model, speed))
 
 
-def _against(entries: str, make_arrivals: Callable[[], list[Arrival]]) -> Ready:
+def _against(entries: str, make_arrivals: Callable[[], list[Arrival]]) -> ParsedCommand:
     addresses = [str(part) for part in str(entries).split(",")]
 
     async def work(reactor: Any) -> int:
@@ -137,7 +137,7 @@
         print(msgspec.json.format(msgspec.json.encode(result), indent=2).decode())
         return FAULT_STATUS if result.wrong else 0
 
-    return Ready(lambda: run(work))
+    return ParsedCommand(lambda: run(work))
 
 
 COMMANDS = {"cell": cell, "experiment": experiment, "send": send, "trace": trace}
--- a/pondpin/tools/log_commands.py
+++ b/pondpin/tools/log_commands.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from pondpin.runtime import Ready
+from pondpin.runtime import ParsedCommand
 from pondpin.tools.log_story import find_story, read_lines, tell_story
 from pondpin.tools.losses import (
     forecast_errors,
@@ -23,7 +23,7 @@
 NOTHING_STATUS = 4
 
 
-def trace(request: str, *logs: str, margin: float = 2.0, json: bool = False) -> Ready:
+def trace(request: str, *logs: str, margin: float = 2.0, json: bool = False) -> ParsedCommand:
     """Tell what became of a relayed request, from the log files of all instances.
 
     margin is how many seconds before its first line other events are shown.
@@ -42,7 +42,7 @@
             print("\n".join(tell_story(story)))
         return 0 if story.own else NOTHING_STATUS
 
-    return Ready(start)
+    return ParsedCommand(start)
 
 
 def losses(
@@ -51,7 +51,7 @@
     span: float = 10.0,
     json: bool = False,
     plot: str = "",
-) -> Ready:
+) -> ParsedCommand:
     """Split the worth that relayed requests lost by kind, size, time and cause.
 
     worth gives a request's worth by its target in ms, 300=1.3,3000=24; span is in seconds.
@@ -74,4 +74,4 @@
             plot_losses(tables, Path(plot))
         return 0 if tables["cause"] else NOTHING_STATUS
 
-    return Ready(start)
+    return ParsedCommand(start)
--- a/pondpin/tools/measure_bare.py
+++ b/pondpin/tools/measure_bare.py
@@ -8,10 +8,10 @@
 from pondpin.engine_client import HttpEngines
 from pondpin.engine_protocol import StreamRequest
 from pondpin.http_client import HttpClient
-from pondpin.http_reply import Incoming, Reply
+from pondpin.http_reply import IncomingRequest, Reply
 from pondpin.http_server import WebServer
 from pondpin.network import parse_endpoint
-from pondpin.runtime import Ready, run, run_command, stop_on_signals, wall_now
+from pondpin.runtime import ParsedCommand, run, run_command, stop_on_signals, wall_now
 
 
 class _PassOn:
@@ -41,7 +41,7 @@
         self.server = WebServer(reactor)
         self.server.route("/v1/completions", self._complete)
 
-    async def _complete(self, incoming: Incoming, reply: Reply) -> None:
+    async def _complete(self, incoming: IncomingRequest, reply: Reply) -> None:
         body = msgspec.json.decode(incoming.body)
         self._count += 1
         request = StreamRequest(
@@ -62,7 +62,7 @@
         await sink.ended
 
 
-def bare(address: str, engine: str) -> Ready:
+def bare(address: str, engine: str) -> ParsedCommand:
     """Run it on IP:port before an engine at IP:port."""
 
     async def work(reactor: Any) -> int:
@@ -74,7 +74,7 @@
         await served.server.close()
         return 0
 
-    return Ready(lambda: run(work))
+    return ParsedCommand(lambda: run(work))
 
 
 if __name__ == "__main__":
--- a/pondpin/tools/measure_deadly.py
+++ b/pondpin/tools/measure_deadly.py
@@ -11,9 +11,9 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from pondpin.http_client import Answer
+from pondpin.http_client import HttpResponse
 from pondpin.http_streams import CallFailedError
-from pondpin.runtime import Ready, run, run_command
+from pondpin.runtime import ParsedCommand, run, run_command
 from pondpin.standins.local_platform import (
     ENGINES,
     HOST,
@@ -134,7 +134,7 @@
         whole = answer is not None and answer.status == 200
         self.served += whole
 
-    async def _ask(self, attempt: str, body: bytes) -> Answer | None:
+    async def _ask(self, attempt: str, body: bytes) -> HttpResponse | None:
         headers = {
             "host": HOST,
             "x-attempt-id": attempt,
@@ -163,7 +163,7 @@
         )
 
 
-def measure(seeds: int = 1) -> Ready:
+def measure(seeds: int = 1) -> ParsedCommand:
     """Play both kinds on both routes, on seeds from 1 on."""
 
     async def play_all(reactor: Any) -> int:
@@ -175,7 +175,7 @@
                     print(play.tell(), flush=True)
         return 0
 
-    return Ready(lambda: run(play_all))
+    return ParsedCommand(lambda: run(play_all))
 
 
 if __name__ == "__main__":
--- a/pondpin/tools/measure_engine.py
+++ b/pondpin/tools/measure_engine.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from pondpin.network import parse_endpoint
-from pondpin.runtime import Ready, run, run_command, stop_on_signals
+from pondpin.runtime import ParsedCommand, run, run_command, stop_on_signals
 from pondpin.standins.engine import Engine, EngineOptions
 from pondpin.standins.engine_model import EngineShape
 
@@ -17,7 +17,7 @@
 )
 
 
-def engine(address: str, model: str) -> Ready:
+def engine(address: str, model: str) -> ParsedCommand:
     """Run it on IP:port."""
 
     async def work(reactor: Any) -> int:
@@ -29,7 +29,7 @@
         await served.stop()
         return 0
 
-    return Ready(lambda: run(work))
+    return ParsedCommand(lambda: run(work))
 
 
 if __name__ == "__main__":
--- a/pondpin/tools/measure_hop.py
+++ b/pondpin/tools/measure_hop.py
@@ -13,8 +13,8 @@
 from pondpin.engine_client import FrameReader, HttpEngines
 from pondpin.engine_protocol import StreamRequest
 from pondpin.http_client import HttpClient
-from pondpin.http_streams import OpenStream
-from pondpin.runtime import Ready, run, run_command, steady_now, wall_now
+from pondpin.http_streams import ResponseStream
+from pondpin.runtime import ParsedCommand, run, run_command, steady_now, wall_now
 from pondpin.standins.local_fleet import HOST, SHARED_KEY, free_port, key_hash
 from pondpin.tools.balancer import Balancer
 from pondpin.tools.caller import Caller, Question
@@ -234,7 +234,7 @@
         )
         sink = FirstToken(steady_now())
         start = await engines.submit(self.engine_address, request)
-        stream: OpenStream = start.deliver(sink)
+        stream: ResponseStream = start.deliver(sink)
         await sink.ended
         stream.close()
         assert sink.first is not None, "the engine answers"
@@ -267,7 +267,7 @@
             process.stop()
 
 
-def hop() -> Ready:
+def hop() -> ParsedCommand:
     """Measure the hop and print the result as JSON."""
 
     async def work(reactor: Any) -> int:
@@ -280,7 +280,7 @@
         print(msgspec.json.format(msgspec.json.encode(result), indent=2).decode())
         return 0
 
-    return Ready(lambda: run(work))
+    return ParsedCommand(lambda: run(work))
 
 
 if __name__ == "__main__":
--- a/pondpin/tools/measure_identity.py
+++ b/pondpin/tools/measure_identity.py
@@ -2,19 +2,19 @@
 
 import time
 
-from pondpin.request_identity import identify, make_key
-from pondpin.runtime import Ready, run_command
+from pondpin.request_identity import derive_key, identify
+from pondpin.runtime import ParsedCommand, run_command
 
 SIZES = (256, 4096, 65_536)
 ROUNDS = 2000
 MICROSECONDS = 1e6
 
 
-def measure() -> Ready:
+def measure() -> ParsedCommand:
     """Print a line for each size."""
 
     def start() -> int:
-        key = make_key("a setting")
+        key = derive_key("a setting")
         for size in SIZES:
             body = b"x" * size
             began = time.perf_counter()
@@ -24,7 +24,7 @@
             print(f"{size} bytes: {seconds * MICROSECONDS:.1f} us")
         return 0
 
-    return Ready(start)
+    return ParsedCommand(start)
 
 
 if __name__ == "__main__":
--- a/pondpin/tools/measure_limit_ways.py
+++ b/pondpin/tools/measure_limit_ways.py
@@ -18,9 +18,9 @@
 
 import xxhash
 
-from pondpin.pace import Pace
+from pondpin.pace import Pacer
 from pondpin.relay.peers.permit_issuer import Membership, owner_of
-from pondpin.runtime import Ready, run_command
+from pondpin.runtime import ParsedCommand, run_command
 
 UPSTREAMS = 8
 CENTERS = 3
@@ -114,7 +114,7 @@
 
     def __init__(self, world: World, by_demand: bool) -> None:
         self._world, self._by_demand = world, by_demand
-        self._paces: dict[tuple[int, int], Pace] = {}
+        self._paces: dict[tuple[int, int], Pacer] = {}
         self._asked: list[deque[float]] = [deque() for _ in range(world.instances)]
 
     def _part(self, instance: int) -> float:
@@ -143,14 +143,14 @@
             asked.popleft()
         rate = world.limit * self._part(instance)
         paces = [
-            (self._paces.setdefault((instance, life), Pace.begin(rate, world.now)), life)
+            (self._paces.setdefault((instance, life), Pacer.begin(rate, world.now)), life)
             for life in range(UPSTREAMS)
         ]
         pace, life = min(paces, key=lambda item: item[0].due)
-        at = pace.free_at(world.now)
+        at = pace.available_at(world.now)
         if at - world.now > WAIT_SECONDS:
             return None
-        pace.take(rate, at)
+        pace.issue(rate, at)
         return life, at
 
     def start(self, instance: int) -> None:
@@ -207,7 +207,7 @@
 
     def __init__(self, world: World) -> None:
         self._world = world
-        self._paces: dict[tuple[int, int], Pace] = {}
+        self._paces: dict[tuple[int, int], Pacer] = {}
         self._home_by_life: dict[tuple[int, int], int] = {}
 
     def _home(self, instance: int, life: int) -> tuple[int, float]:
@@ -230,10 +230,10 @@
         at, life, pace, rate = min(offers, key=lambda item: item[0])
         if at - world.now > WAIT_SECONDS:
             return None
-        pace.take(rate, at)
+        pace.issue(rate, at)
         return life, at
 
-    def _offer(self, instance: int, life: int) -> tuple[float, int, Pace, float] | None:
+    def _offer(self, instance: int, life: int) -> tuple[float, int, Pacer, float] | None:
         world = self._world
         home, _ = self._home(instance, life)
         if home < 0 or not world.there[home] or world.is_cut(instance, home):
@@ -243,15 +243,15 @@
             return None
         if self._home_by_life.get((home, life)) != home:
             rate = world.limit * share
-            pace = Pace.begin(rate, world.now)
-            pace.follow(self._paces.get((home, life), pace), rate, rate, world.now)
+            pace = Pacer.begin(rate, world.now)
+            pace.inherit(self._paces.get((home, life), pace), rate, rate, world.now)
             self._paces[home, life] = pace
             for other in range(world.instances):
                 self._home_by_life[other, life] = -1
             self._home_by_life[home, life] = home
         way = 0.0 if home == instance else WAY_SECONDS
         pace = self._paces[home, life]
-        return pace.free_at(world.now + way), life, pace, world.limit * share
+        return pace.available_at(world.now + way), life, pace, world.limit * share
 
     def start(self, instance: int) -> None:
         """See Way."""
@@ -348,7 +348,7 @@
     return worst
 
 
-def measure(seeds: int = 2, least: int = 1, most: int = 195) -> Ready:
+def measure(seeds: int = 2, least: int = 1, most: int = 195) -> ParsedCommand:
     """A table for each number of instances and limit: over the aim, and used."""
 
     def start() -> int:
@@ -361,7 +361,7 @@
                     print(f"{what}: {', '.join(cells)}", flush=True)
         return 0
 
-    return Ready(start)
+    return ParsedCommand(start)
 
 
 def _cell(way: str, instances: int, limit: float, demand: str, trouble: bool, seeds: int) -> str:
--- a/pondpin/tools/measure_limits.py
+++ b/pondpin/tools/measure_limits.py
@@ -12,7 +12,7 @@
 from functools import partial
 from typing import Any
 
-from pondpin.runtime import Ready, run, run_command
+from pondpin.runtime import ParsedCommand, run, run_command
 from pondpin.standins.limits_kept import AIM, USERS_BOUND, most_over, used_share
 from pondpin.tools.local_load import UPSTREAMS, LocalLoad
 
@@ -66,7 +66,7 @@
         worker.limit = "3"
 
 
-def measure(instances: int = 8, seeds: int = 1) -> Ready:
+def measure(instances: int = 8, seeds: int = 1) -> ParsedCommand:
     """Play each load on seeds from 1 on."""
     three, all_eight = naming("1", "0.5", "6"), naming(*["3"] * UPSTREAMS)
     plays = (
@@ -89,7 +89,7 @@
                 print(play.tell(what), flush=True)
         return 0
 
-    return Ready(lambda: run(play_all))
+    return ParsedCommand(lambda: run(play_all))
 
 
 if __name__ == "__main__":
--- a/pondpin/tools/measure_notices.py
+++ b/pondpin/tools/measure_notices.py
@@ -8,7 +8,7 @@
 import asyncio
 from typing import Any
 
-from pondpin.runtime import Ready, run, run_command
+from pondpin.runtime import ParsedCommand, run, run_command
 from pondpin.standins.wishes import windows_over, worst_rest
 from pondpin.tools.local_load import SERVICE_BY_ROUTE, UPSTREAMS, LocalLoad
 
@@ -68,7 +68,7 @@
 FAULTS = {"three leave": leave, "three want rest": rest, "half by turns": rest_by_turns}
 
 
-def measure(instances: int = 1, seeds: int = 1) -> Ready:
+def measure(instances: int = 1, seeds: int = 1) -> ParsedCommand:
     """Play each fault on both routes, on seeds from 1 on."""
 
     async def play_all(reactor: Any) -> int:
@@ -80,7 +80,7 @@
                     print(play.tell(name), flush=True)
         return 0
 
-    return Ready(lambda: run(play_all))
+    return ParsedCommand(lambda: run(play_all))
 
 
 if __name__ == "__main__":
--- a/pondpin/tools/measure_once.py
+++ b/pondpin/tools/measure_once.py
@@ -15,7 +15,7 @@
 from pondpin.codes import Ran
 from pondpin.http_client import HttpClient
 from pondpin.http_streams import CallFailedError
-from pondpin.runtime import Ready, run, run_command, steady_now
+from pondpin.runtime import ParsedCommand, run, run_command, steady_now
 from pondpin.standins.faults import Faults
 from pondpin.standins.local_fleet import HOST, SHARED_KEY, free_port, key_hash
 from pondpin.tools.balancer import Balancer
@@ -211,7 +211,7 @@
     )
 
 
-def once(calls: int = 20000, seed: int = 1) -> Ready:
+def once(calls: int = 20000, seed: int = 1) -> ParsedCommand:
     """Make calls under faults and print what was found; status 1 when a promise was broken."""
 
     async def work(reactor: Any) -> int:
@@ -238,7 +238,7 @@
         broken = result.run_twice or result.not_run_that_ran or result.said_ran_that_did_not
         return 1 if broken else 0
 
-    return Ready(lambda: run(work))
+    return ParsedCommand(lambda: run(work))
 
 
 if __name__ == "__main__":
--- a/pondpin/tools/measure_parts.py
+++ b/pondpin/tools/measure_parts.py
@@ -12,7 +12,7 @@
 from pondpin.configuration import decode_configuration
 from pondpin.decisions import Candidate, Decision, DecisionLog, Ended, Placed
 from pondpin.once import KeptAnswer, OnceTable
-from pondpin.runtime import Ready, run_command
+from pondpin.runtime import ParsedCommand, run_command
 from pondpin.signing import make_signer
 from pondpin.tools.measure_peers import make_document
 
@@ -82,7 +82,7 @@
     return time_of(once)
 
 
-def parts() -> Ready:
+def parts() -> ParsedCommand:
     """Print the measurements as JSON."""
 
     def start() -> int:
@@ -98,7 +98,7 @@
         print(json.dumps(result, indent=2))
         return 0
 
-    return Ready(start)
+    return ParsedCommand(start)
 
 
 if __name__ == "__main__":
--- a/pondpin/tools/measure_peers.py
+++ b/pondpin/tools/measure_peers.py
@@ -27,7 +27,7 @@
 from pondpin.metrics import Metrics
 from pondpin.network import parse_endpoint
 from pondpin.peer_server import PeerListener, PeerServer
-from pondpin.runtime import Ready, run, run_command, set_up_logs, steady_now
+from pondpin.runtime import ParsedCommand, run, run_command, set_up_logs, steady_now
 from pondpin.standins.local_fleet import HOST, free_port, key_hash
 from pondpin.usage_shares import ACCOUNTS_TOLD
 from pondpin.wire.peer_pb2 import AccountUsage, ForwardReply, ForwardRequest
@@ -186,7 +186,7 @@
     return steady_now() - started
 
 
-def peers(fan_out: int = 2) -> Ready:
+def peers(fan_out: int = 2) -> ParsedCommand:
     """Measure at 8, 20 and 60 instances; prints JSON lines."""
 
     async def work(reactor: Any) -> int:
@@ -199,7 +199,7 @@
         set_up_logs("error")
         return run(work)
 
-    return Ready(start)
+    return ParsedCommand(start)
 
 
 if __name__ == "__main__":
--- a/pondpin/tools/measure_polls.py
+++ b/pondpin/tools/measure_polls.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from pondpin.network import Endpoint
-from pondpin.runtime import Ready, run, run_command
+from pondpin.runtime import ParsedCommand, run, run_command
 from pondpin.standins.engine import Engine, EngineOptions
 from pondpin.standins.local_fleet import HOST, SHARED_KEY, free_port
 from pondpin.tools.measure_peers import loopback_bytes
@@ -96,7 +96,7 @@
     return [first, entry]
 
 
-def polls() -> Ready:
+def polls() -> ParsedCommand:
     """Measure and print the result as JSON."""
 
     async def work(reactor: Any) -> int:
@@ -114,7 +114,7 @@
         print(msgspec.json.format(msgspec.json.encode(result), indent=2).decode())
         return 0
 
-    return Ready(lambda: run(work))
+    return ParsedCommand(lambda: run(work))
 
 
 if __name__ == "__main__":
--- a/pondpin/tools/measure_restores.py
+++ b/pondpin/tools/measure_restores.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from pondpin.http_streams import CallFailedError
-from pondpin.runtime import Ready, run, run_command
+from pondpin.runtime import ParsedCommand, run, run_command
 from pondpin.standins.local_platform import (
     HOST,
     KEY,
@@ -187,7 +187,7 @@
 )
 
 
-def measure(seed: int = 1) -> Ready:
+def measure(seed: int = 1) -> ParsedCommand:
     """Print a line for each case."""
 
     async def work(reactor: Any) -> int:
@@ -206,7 +206,7 @@
             )
         return 0
 
-    return Ready(lambda: run(work))
+    return ParsedCommand(lambda: run(work))
 
 
 if __name__ == "__main__":
--- a/pondpin/tools/measure_rests.py
+++ b/pondpin/tools/measure_rests.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, field, replace
 
 from pondpin.notices import Notice
-from pondpin.runtime import Ready, run_command
-from pondpin.standing import Bar, Standing, nobody_left
+from pondpin.runtime import ParsedCommand, run_command
+from pondpin.standing import Availability, BlockReason, find_unavailability
 from pondpin.tools.virtual_time import run_virtual
 
 INSTANCES = 8
@@ -82,7 +82,7 @@
 class Instance:
     """Knows standings of its own, and its own and peers' requests at each upstream."""
 
-    standings: list[Standing]
+    standings: list[Availability]
     hinted_until: list[float]
     open: list[int]
 
@@ -101,7 +101,7 @@
         self.rng = random.Random(self.seed)
         self.upstreams = [Upstream() for _ in range(UPSTREAMS)]
         self.instances = [
-            Instance([Standing() for _ in range(UPSTREAMS)], [0.0] * UPSTREAMS, [0] * UPSTREAMS)
+            Instance([Availability() for _ in range(UPSTREAMS)], [0.0] * UPSTREAMS, [0] * UPSTREAMS)
             for _ in range(INSTANCES)
         ]
 
@@ -152,7 +152,7 @@
             taken = await self.upstreams[place].run()
             instance.open[place] -= 1
             if taken:
-                instance.standings[place].note_taken(self.now())
+                instance.standings[place].record_accepted(self.now())
                 return None
             self._note_rest(instance, place)
         return self._back_in(instance)
@@ -171,16 +171,16 @@
         # Peers' requests as digests tell them; the draw stands for what they don't tell yet.
         return min(places, key=lambda place: (self.upstreams[place].open, self.rng.random()))
 
-    def _bar(self, instance: Instance, place: int, now: float) -> Bar:
+    def _bar(self, instance: Instance, place: int, now: float) -> BlockReason:
         open_here = instance.open[place] if self.way.bit_by_bit else 0
-        return instance.standings[place].bar(now, open_here)
+        return instance.standings[place].block_reason(now, open_here)
 
     async def _wait(self, instance: Instance, began: float) -> bool:
         """Wait for the first that is back; False when that takes too long."""
         now = self.now()
         left = began + TARGET_SECONDS - now
-        why = nobody_left(instance.standings, now)
-        back_in = TRACE_SECONDS if why is None else why.back_at - now
+        why = find_unavailability(instance.standings, now)
+        back_in = TRACE_SECONDS if why is None else why.resume_at - now
         if back_in > self.way.wait_share * left:
             return False
         self.counts["waited"] += 1
@@ -189,15 +189,15 @@
 
     def _back_in(self, instance: Instance) -> float:
         now = self.now()
-        why = nobody_left(instance.standings, now)
-        wait = 0.0 if why is None else max(0.0, why.back_at - now)
+        why = find_unavailability(instance.standings, now)
+        wait = 0.0 if why is None else max(0.0, why.resume_at - now)
         return wait + min(1.0, 0.4 + wait) * self.rng.random()
 
     def _note_rest(self, instance: Instance, place: int) -> None:
         self.counts["turned away"] += 1
         now = self.now()
         notice = Notice(rest=self.load.rest)
-        instance.standings[place].hear(notice, "answer", now, self.rng.random())
+        instance.standings[place].apply_notice(notice, "answer", now, self.rng.random())
         if self.way.tells:
             for peer in self.instances:
                 peer.hinted_until[place] = max(peer.hinted_until[place], now + self.load.rest)
@@ -224,7 +224,7 @@
 TOLD = ("in time", "late", "refused", "came back", "turned away", "waited")
 
 
-def measure(seeds: int = 5) -> Ready:
+def measure(seeds: int = 5) -> ParsedCommand:
     """Compare the ways on each load; figures are sums over the seeds, shares of the requests."""
 
     def start() -> int:
@@ -239,7 +239,7 @@
                 print(f"  {way.name}: {shares} of {asked}", flush=True)
         return 0
 
-    return Ready(start)
+    return ParsedCommand(start)
 
 
 if __name__ == "__main__":
--- a/pondpin/tools/operator_client.py
+++ b/pondpin/tools/operator_client.py
@@ -13,7 +13,7 @@
 from pondpin.http_client import HttpClient
 from pondpin.http_reply import ErrorAnswer
 from pondpin.http_streams import CallFailedError
-from pondpin.runtime import Ready, run
+from pondpin.runtime import ParsedCommand, run
 from pondpin.secure_endpoints import SecureEndpoints
 from pondpin.tools.log_commands import PROGRAM
 from pondpin.tools.tables import make_console
@@ -85,7 +85,7 @@
 Asking = Callable[[OperatorClient, Console], Coroutine[Any, Any, int]]
 
 
-def ask_instances(asking: Asking) -> Ready:
+def ask_instances(asking: Asking) -> ParsedCommand:
     """A command that asks instances."""
 
     async def work(reactor: Any) -> int:
@@ -98,4 +98,4 @@
         finally:
             await client.close()
 
-    return Ready(lambda: run(work))
+    return ParsedCommand(lambda: run(work))
--- a/pondpin/tools/reference.py
+++ b/pondpin/tools/reference.py
@@ -12,7 +12,7 @@
 from pondpin.configuration import Configuration, configuration_schema
 from pondpin.interface_metrics import InterfaceMetrics
 from pondpin.relay_settings import RelaySettings
-from pondpin.runtime import Ready, run_command
+from pondpin.runtime import ParsedCommand, run_command
 from pondpin.settings import Settings, settings_schema
 from pondpin.tools.units import RELAY_UNIT_BY_KEY, UNIT_BY_KEY
 
@@ -167,7 +167,7 @@
 }
 
 
-def reference() -> Ready:
+def reference() -> ParsedCommand:
     """Write all reference pages into docs/."""
 
     def start() -> int:
@@ -175,7 +175,7 @@
             (DOCS / name).write_text(make())
         return 0
 
-    return Ready(start)
+    return ParsedCommand(start)
 
 
 if __name__ == "__main__":
--- a/pondpin/tools/relay_commands.py
+++ b/pondpin/tools/relay_commands.py
@@ -2,7 +2,7 @@
 
 from rich.console import Console
 
-from pondpin.runtime import Ready
+from pondpin.runtime import ParsedCommand
 from pondpin.tools.log_commands import NOTHING_STATUS
 from pondpin.tools.operator_client import OperatorClient, ask_instances
 from pondpin.tools.tables import print_json, print_rows
@@ -14,7 +14,7 @@
 PUBLISHED_PATH = "/published"
 
 
-def quarantine(at: str = DEFAULT_METRICS_AT, json: bool = False) -> Ready:
+def quarantine(at: str = DEFAULT_METRICS_AT, json: bool = False) -> ParsedCommand:
     """Show the requests that a relaying instance suspects or holds back.
 
     at is its metrics address.
@@ -31,7 +31,7 @@
     return ask_instances(asking)
 
 
-def standings(at: str = DEFAULT_METRICS_AT, json: bool = False) -> Ready:
+def standings(at: str = DEFAULT_METRICS_AT, json: bool = False) -> ParsedCommand:
     """Show each upstream of a relaying instance: whether it takes requests, leaves, rests or is
     ejected, by whose word, since when and for how much longer.
 
@@ -49,7 +49,7 @@
     return ask_instances(asking)
 
 
-def published(at: str = DEFAULT_METRICS_AT, json: bool = False) -> Ready:
+def published(at: str = DEFAULT_METRICS_AT, json: bool = False) -> ParsedCommand:
     """Show the configuration and list in force at a relaying instance: version, epoch, revision,
     how long ago each was proved, and the highest epoch of the source that it heard of.
 
@@ -67,7 +67,7 @@
     return ask_instances(asking)
 
 
-def lift(identity: str, at: str = DEFAULT_METRICS_AT) -> Ready:
+def lift(identity: str, at: str = DEFAULT_METRICS_AT) -> ParsedCommand:
     """Let a request run again that instances hold back; they tell each other.
 
     identity: 16 hexadecimal digits, as `quarantine` and the logs show them.
--- a/pondpin/tools/report.py
+++ b/pondpin/tools/report.py
@@ -18,7 +18,7 @@
     read_configuration,
 )
 from pondpin.reading import read_or_exit
-from pondpin.runtime import Ready, run, run_command
+from pondpin.runtime import ParsedCommand, run, run_command
 from pondpin.tools.objectives import alert_rules, count_events, show_window
 from pondpin.tools.operator_client import OperatorClient, OperatorError, make_client
 from pondpin.tools.prometheus_text import Samples, merge_texts
@@ -170,7 +170,7 @@
     every: float = 5.0,
     html: str = "",
     json: bool = False,
-) -> Ready:
+) -> ParsedCommand:
     """Report burn over instances at IP:port,IP:port; read them for some seconds."""
 
     async def work(reactor: Any) -> int:
@@ -185,7 +185,7 @@
         finally:
             await http.close()
 
-    return Ready(lambda: run(work))
+    return ParsedCommand(lambda: run(work))
 
 
 async def _report(
@@ -245,7 +245,7 @@
     }
 
 
-def alerts(file: str) -> Ready:
+def alerts(file: str) -> ParsedCommand:
     """Print Prometheus alert rules, as JSON (which is YAML), from a configuration's objectives."""
 
     def start() -> int:
@@ -253,7 +253,7 @@
         print(json.dumps(alert_rules(configuration.objectives), indent=2))
         return 0
 
-    return Ready(start)
+    return ParsedCommand(start)
 
 
 COMMANDS = {"alerts": alerts, "burn": burn}
