--- a/pondpin/standing.py
+++ b/pondpin/availability.py
@@ -15,7 +15,7 @@
 from pondpin.notices import Notice
 
 if TYPE_CHECKING:
-    from pondpin.limits import LimitReport
+    from pondpin.upstream_limits import LimitReport
 
 Life = TypeVar("Life", bound=Hashable)
 
--- a/pondpin/callers.py
+++ b/pondpin/callers.py
@@ -14,8 +14,8 @@
 from pondpin.codes import Code, Ran
 from pondpin.decisions import Decision, DecisionLog, Ended
 from pondpin.errors import PondpinError
-from pondpin.filters.identify import AuthenticationFilter
-from pondpin.filters.once import NEXT_TOKEN_HEADER, TokenIssuer
+from pondpin.filters.at_most_once import NEXT_TOKEN_HEADER, TokenIssuer
+from pondpin.filters.authentication import AuthenticationFilter
 from pondpin.http_reply import IncomingRequest, Reply
 from pondpin.http_server import IDEMPOTENCY_HEADERS, WebServer
 from pondpin.identity import Identity
--- a/pondpin/configuration.py
+++ b/pondpin/configuration.py
@@ -8,9 +8,9 @@
 from pydantic.dataclasses import dataclass
 
 from pondpin.errors import FieldError, raise_faults
-from pondpin.files import STRICT, decode_document
 from pondpin.network import EndpointText
 from pondpin.policies import AdmissionPolicy, PlacementPolicy
+from pondpin.pydantic_decoding import STRICT, decode_document
 from pondpin.selectors import parse_selector
 
 HIGHEST_PRIORITY = 100
--- a/pondpin/controllers/load.py
+++ b/pondpin/controllers/load.py
@@ -7,6 +7,7 @@
 
 from absl import logging
 
+from pondpin.availability import BlockReason
 from pondpin.clocks import Clock
 from pondpin.configuration import UpstreamKind
 from pondpin.controllers.base import Controller
@@ -14,9 +15,8 @@
 from pondpin.fleet import Fleet, UpstreamState
 from pondpin.health import record_failure, record_success
 from pondpin.http_streams import CallFailedError
+from pondpin.notice_headers import LEAVING
 from pondpin.service_client import ServicePort
-from pondpin.standing import BlockReason
-from pondpin.state_header import LEAVING
 
 
 class LoadController(Controller):
--- a/pondpin/engine_attempts.py
+++ b/pondpin/engine_attempts.py
@@ -13,8 +13,8 @@
 from pondpin.frames import FrameGate
 from pondpin.http_streams import CallFailedError, StreamedResponse
 from pondpin.identity import Identity
+from pondpin.notice_headers import announces_leaving
 from pondpin.scheduler import Grant
-from pondpin.state_header import announces_leaving
 from pondpin.stream_attempt import AttemptResult, StreamAttempt, Watchdog
 
 OK = 200
--- a/pondpin/engine_client.py
+++ b/pondpin/engine_client.py
@@ -16,7 +16,7 @@
 )
 from pondpin.http_client import HttpClient, HttpResponse
 from pondpin.http_streams import CallFailedError, StreamedResponse
-from pondpin.state_header import AddressNoticeHandler, ignore_notice, response_notice
+from pondpin.notice_headers import AddressNoticeHandler, ignore_notice, response_notice
 
 STREAMS_PATH = "/v1/streams"
 EVENT_START = b"data: "
--- a/pondpin/entry.py
+++ b/pondpin/entry.py
@@ -12,7 +12,6 @@
 from pondpin.controllers.base import Controller
 from pondpin.controllers.configuration import ConfigurationController, ConfigurationStore
 from pondpin.controllers.housekeeping import HousekeepingController, QueueController
-from pondpin.controllers.keys import TlsReloadController
 from pondpin.controllers.load import LoadController
 from pondpin.controllers.orders import OrderContext, OrderController
 from pondpin.controllers.orphans import OrphanController
@@ -24,32 +23,33 @@
     InstanceStatus,
     PeerRegistry,
 )
-from pondpin.crash_watch import CrashMonitor
-from pondpin.cuttable_client import PartitionableClient
+from pondpin.controllers.tls_reload import TlsReloadController
+from pondpin.crash_monitor import CrashMonitor
 from pondpin.decisions import DecisionLog
 from pondpin.engine_attempts import EngineAttempts
 from pondpin.engine_client import HttpEngines
-from pondpin.filters.complete import CompletionFilter
-from pondpin.filters.describe import RequestParsingFilter
-from pondpin.filters.identify import AuthenticationFilter
+from pondpin.filters.at_most_once import AtMostOnceFilter, TokenIssuer, TokenResultFilter
+from pondpin.filters.authentication import AuthenticationFilter
+from pondpin.filters.completion import CompletionFilter
 from pondpin.filters.limit import LimitFilter
-from pondpin.filters.once import AtMostOnceFilter, TokenIssuer, TokenResultFilter
 from pondpin.filters.quarantine import QuarantineFilter
+from pondpin.filters.request_parsing import RequestParsingFilter
 from pondpin.filters.route import RouteFilter
 from pondpin.filters.rule import RuleFilter
-from pondpin.filters.serve import ServiceFilter
+from pondpin.filters.service import ServiceFilter
 from pondpin.fleet import Fleet
 from pondpin.forwarding import ForwardedCalls, PeerForwarder
 from pondpin.http_server import ServerLimits, WebServer
 from pondpin.identity import Identity
 from pondpin.interface_metrics import InterfaceMetrics
 from pondpin.ledger import Ledger
-from pondpin.limit_turns import InstancePosition
+from pondpin.limit_slots import InstancePosition
 from pondpin.network import Endpoint, parse_endpoint
 from pondpin.notices import Notice
 from pondpin.once import OnceTable
 from pondpin.operators import OperatorGate, Operators
 from pondpin.orders import revision_of_fence
+from pondpin.partitionable_client import PartitionableClient
 from pondpin.peer_server import PeerListener, PeerServer
 from pondpin.platform_client import HttpPlatform
 from pondpin.quarantine import compute_trial_rank
--- a/pondpin/filters/complete.py
+++ b/pondpin/filters/completion.py
@@ -13,10 +13,11 @@
     backoff_seconds,
     decide_next,
 )
+from pondpin.availability import BlockReason
 from pondpin.calls import Call, Outcome, Proceed
 from pondpin.clocks import Clock, WallClock
 from pondpin.codes import Code, Ran
-from pondpin.crash_watch import CrashMonitor
+from pondpin.crash_monitor import CrashMonitor
 from pondpin.cursors import Cursor, sign_cursor
 from pondpin.decisions import CANDIDATES_KEPT, AttemptFailed, Candidate, Placed, Waited
 from pondpin.engine_attempts import EngineAttempts, Progress
@@ -27,7 +28,6 @@
 from pondpin.retry_budget import record_first_attempt, spend_retry
 from pondpin.scheduler import Grant, Scheduler, Ticket
 from pondpin.signing import Signer
-from pondpin.standing import BlockReason
 from pondpin.stream_attempt import AttemptResult
 
 WORTH_NOTING_SECONDS = 0.005
--- a/pondpin/filters/quarantine.py
+++ b/pondpin/filters/quarantine.py
@@ -4,7 +4,7 @@
 
 from pondpin.calls import Call, Outcome, Proceed
 from pondpin.codes import Code
-from pondpin.crash_watch import CrashMonitor
+from pondpin.crash_monitor import CrashMonitor
 from pondpin.quarantine import Verdict
 from pondpin.request_identity import derive_key, identify
 
--- a/pondpin/filters/rule.py
+++ b/pondpin/filters/rule.py
@@ -6,7 +6,7 @@
 from pondpin.codes import Code
 from pondpin.configuration import Configuration, LengthClass, Rule
 from pondpin.errors import PondpinError
-from pondpin.filters.describe import ALLOWED_SECONDS_HEADER, parse_allowed_seconds
+from pondpin.filters.request_parsing import ALLOWED_SECONDS_HEADER, parse_allowed_seconds
 from pondpin.selectors import Labels, parse_selector
 
 
--- a/pondpin/filters/serve.py
+++ b/pondpin/filters/service.py
@@ -5,7 +5,7 @@
 from pondpin.calls import Call, Outcome, Proceed, WholeAnswer
 from pondpin.clocks import Clock
 from pondpin.codes import Code, Ran
-from pondpin.crash_watch import CrashMonitor
+from pondpin.crash_monitor import CrashMonitor
 from pondpin.decisions import AttemptFailed, Placed
 from pondpin.errors import PondpinError
 from pondpin.fleet import Fleet, UpstreamState
--- a/pondpin/fleet.py
+++ b/pondpin/fleet.py
@@ -6,6 +6,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field, replace
 
+from pondpin.availability import Availability, BlockReason, Rest, find_unavailability
 from pondpin.codes import Code
 from pondpin.configuration import Configuration, Upstream, UpstreamKind
 from pondpin.cost_model import CostModel, Counters
@@ -13,13 +14,12 @@
 from pondpin.errors import PondpinError
 from pondpin.health import Health, usable_names
 from pondpin.ledger import Hold
-from pondpin.limit_turns import SINGLE_INSTANCE, InstancePosition, LimitSlots
+from pondpin.limit_slots import SINGLE_INSTANCE, InstancePosition, LimitSlots
 from pondpin.notices import Notice
 from pondpin.placement import EngineSize, EngineView
 from pondpin.prefix_index import PrefixIndex
 from pondpin.retry_budget import RetryBudget
 from pondpin.selectors import Labels, parse_selector
-from pondpin.standing import Availability, BlockReason, Rest, find_unavailability
 
 OTHER_CENTER_SECONDS = 0.0015
 RETURNS_KEPT = 512
--- a/pondpin/forwarding.py
+++ b/pondpin/forwarding.py
@@ -10,7 +10,7 @@
 from pondpin.codes import Code, Ran
 from pondpin.controllers.peers import PeerPort, PeerRegistry, find_peer
 from pondpin.errors import PeerUnreachableError, PondpinError
-from pondpin.filters.describe import (
+from pondpin.filters.request_parsing import (
     ALLOWED_SECONDS_HEADER,
     LABELS_HEADER,
     TOKEN_HEADER,
--- a/pondpin/launch.py
+++ b/pondpin/launch.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
+from pondpin.command_files import read_or_exit
 from pondpin.errors import InvalidFileError
-from pondpin.reading import read_or_exit
 from pondpin.relay_settings import RelaySettings, read_relay_settings
 from pondpin.runtime import (
     USAGE_STATUS,
--- a/pondpin/notices.py
+++ b/pondpin/notices.py
@@ -62,7 +62,7 @@
 
 def _read_limit(values: Sequence[str]) -> tuple[float | None, str]:
     # Few upstreams ever name one.
-    from pondpin.limits import parse_limit
+    from pondpin.upstream_limits import parse_limit
 
     return parse_limit(values)
 
--- a/pondpin/operators.py
+++ b/pondpin/operators.py
@@ -22,7 +22,7 @@
 from pondpin.identity import Identity
 from pondpin.invariants import INVARIANTS
 from pondpin.ledger import Ledger
-from pondpin.limit_turns import InstancePosition
+from pondpin.limit_slots import InstancePosition
 from pondpin.metrics import Metrics
 from pondpin.positions import epoch_of, revision_of
 from pondpin.scheduler import Scheduler
--- a/pondpin/platform/reports.py
+++ b/pondpin/platform/reports.py
@@ -4,7 +4,7 @@
 
 from pondpin.http_client import HttpClient
 from pondpin.http_streams import CallFailedError
-from pondpin.platform.requests import head_observer
+from pondpin.platform.headers import head_observer
 from pondpin.relay.model import EngineReport
 from pondpin.relay.ports import HeadCallback
 
--- a/pondpin/relay/attempts/permit_acquirer.py
+++ b/pondpin/relay/attempts/permit_acquirer.py
@@ -5,7 +5,7 @@
 
 from pondpin.clocks import Clock
 from pondpin.metrics import Metrics
-from pondpin.pace import Permit
+from pondpin.pacer import Permit
 from pondpin.relay.attempts.attempt_ends import RETRY_SECONDS
 from pondpin.relay.call import Progress, RelayCall
 from pondpin.relay.choosing.jobs import is_light_call, make_job
--- a/pondpin/relay/attempts/placer.py
+++ b/pondpin/relay/attempts/placer.py
@@ -6,6 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
+from pondpin.availability import BlockReason, find_unavailability
 from pondpin.clocks import Clock
 from pondpin.codes import Code
 from pondpin.errors import PondpinError
@@ -17,7 +18,6 @@
 from pondpin.relay.choosing.planner import Plan, Planner
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.table import UpstreamTable
-from pondpin.standing import BlockReason, find_unavailability
 
 if TYPE_CHECKING:
     from pondpin.relay.attempts.permit_acquirer import PermitAcquirer
--- a/pondpin/relay/attempts/send_checks.py
+++ b/pondpin/relay/attempts/send_checks.py
@@ -8,13 +8,13 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
+from pondpin.availability import BlockReason
 from pondpin.clocks import Clock
 from pondpin.errors import PondpinError
 from pondpin.relay.attempts.admission import AdmissionState, admit, check_proof
 from pondpin.relay.attempts.crash_guard import CrashGuard
 from pondpin.relay.call import Progress, RelayCall
 from pondpin.relay.choosing.planner import Plan
-from pondpin.standing import BlockReason
 
 if TYPE_CHECKING:
     from pondpin.relay.peers.permit_issuer import PermitIssuer
--- a/pondpin/relay/call.py
+++ b/pondpin/relay/call.py
@@ -9,7 +9,7 @@
 from pondpin.relay.model import RelayConfiguration, RequestMetadata, Route
 
 if TYPE_CHECKING:
-    from pondpin.pace import Permit
+    from pondpin.pacer import Permit
 
 # Callers give a stream up after the longest of these, also before its first event.
 MIN_CALLER_TIMEOUT_SECONDS = 2.0
--- a/pondpin/relay/entry.py
+++ b/pondpin/relay/entry.py
@@ -14,8 +14,8 @@
 from pondpin.metrics import Metrics
 from pondpin.network import Endpoint, parse_endpoint
 from pondpin.platform.documents import PlatformDecoder
+from pondpin.platform.headers import PlatformDialect
 from pondpin.platform.paths import READY_PATH
-from pondpin.platform.requests import PlatformDialect
 from pondpin.platform.store import PlatformStore
 from pondpin.policies import PlacementPolicy
 from pondpin.relay.attempts.admission import AdmissionState
--- a/pondpin/relay/lazy_components.py
+++ b/pondpin/relay/lazy_components.py
@@ -77,7 +77,7 @@
     @cached_property
     def leases(self) -> "LeaseManager":
         """Memory of engines for prompts that lie on several."""
-        from pondpin.platform.orders import PlatformLeases
+        from pondpin.platform.leases import PlatformLeases
         from pondpin.relay.upstreams.leases import LeaseManager
 
         return LeaseManager(
--- a/pondpin/relay/operator_api.py
+++ b/pondpin/relay/operator_api.py
@@ -10,7 +10,6 @@
 from pondpin.codes import Code
 from pondpin.errors import PondpinError
 from pondpin.http_reply import IncomingRequest, Reply
-from pondpin.limits import limit_number
 from pondpin.metrics import Metrics
 from pondpin.quarantine import Verdict
 from pondpin.relay.attempts.crash_guard import CrashGuard
@@ -19,6 +18,7 @@
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.request_identity import format_identity
+from pondpin.upstream_limits import limit_number
 
 if TYPE_CHECKING:
     from pondpin.relay.peers.permit_issuer import PermitIssuer
--- a/pondpin/relay/peers/limit_messages.py
+++ b/pondpin/relay/peers/limit_messages.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from pondpin.limits import LimitReport, limit_number
 from pondpin.relay.peers.digests import LimitDigest
 from pondpin.relay.upstreams.table import UpstreamTable
+from pondpin.upstream_limits import LimitReport, limit_number
 
 # The first number of a message; digests, long reads and the quarantine's ends have theirs there.
 LIMITS_FORMAT = 1003
--- a/pondpin/relay/peers/limit_sync.py
+++ b/pondpin/relay/peers/limit_sync.py
@@ -8,7 +8,6 @@
 from collections.abc import Callable, Collection, Iterable
 from dataclasses import dataclass
 
-from pondpin.limits import LimitReport, apply_limit, limit_number
 from pondpin.relay.limit_events import UpstreamLimit
 from pondpin.relay.log import EventLog
 from pondpin.relay.peers.digests import LimitDigest
@@ -21,6 +20,7 @@
     to_limit_word,
 )
 from pondpin.relay.upstreams.table import UpstreamTable
+from pondpin.upstream_limits import LimitReport, apply_limit, limit_number
 
 
 @dataclass
--- a/pondpin/relay/peers/permit_broker.py
+++ b/pondpin/relay/peers/permit_broker.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from pondpin.clocks import Clock
-from pondpin.pace import Permit
+from pondpin.pacer import Permit
 from pondpin.relay.peers.permit_issuer import PERMIT_VALID_SECONDS, PermitIssuer
 from pondpin.relay.upstreams.state import UpstreamState
 
--- a/pondpin/relay/peers/permit_issuer.py
+++ b/pondpin/relay/peers/permit_issuer.py
@@ -13,12 +13,12 @@
 import xxhash
 
 from pondpin.clocks import Clock
-from pondpin.limits import limit_number
-from pondpin.pace import Pacer, Permit, permit_interval
+from pondpin.pacer import Pacer, Permit, permit_interval
 from pondpin.relay.limit_events import PermitOwnerChanged
 from pondpin.relay.log import EventLog
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.table import UpstreamTable
+from pondpin.upstream_limits import limit_number
 
 # A permit that is not spent within this after its moment counts no more: connecting may take 0.3 s.
 PERMIT_VALID_SECONDS = 0.5
--- a/pondpin/relay/upstreams/limit_handler.py
+++ b/pondpin/relay/upstreams/limit_handler.py
@@ -2,7 +2,6 @@
 
 from collections.abc import Callable
 
-from pondpin.limits import LimitReport, apply_limit, limit_number
 from pondpin.notices import Notice
 from pondpin.relay.limit_events import UnknownUpstreamHeader, UpstreamLimit
 from pondpin.relay.log import EventLog
@@ -15,6 +14,7 @@
     SentRequest,
 )
 from pondpin.relay.upstreams.table import UpstreamTable
+from pondpin.upstream_limits import LimitReport, apply_limit, limit_number
 
 # Words that nothing reads are told for so many lives and names.
 MAX_UNKNOWN_HEADERS = 1000
--- a/pondpin/relay/upstreams/probe.py
+++ b/pondpin/relay/upstreams/probe.py
@@ -3,13 +3,13 @@
 from collections.abc import Callable, Sequence
 from typing import TYPE_CHECKING
 
+from pondpin.availability import BlockReason
 from pondpin.clocks import Clock
 from pondpin.controllers.base import Controller
 from pondpin.relay.periods import PERIOD_SECONDS
 from pondpin.relay.published.publication import Publication
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.table import UpstreamTable
-from pondpin.standing import BlockReason
 
 if TYPE_CHECKING:
     from pondpin.relay.upstreams.prober import Prober
--- a/pondpin/relay/upstreams/prober.py
+++ b/pondpin/relay/upstreams/prober.py
@@ -4,6 +4,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
+from pondpin.availability import BlockReason
 from pondpin.clocks import Clock
 from pondpin.http_streams import CallFailedError
 from pondpin.relay.log import EventLog
@@ -13,7 +14,6 @@
 from pondpin.relay.upstreams.notice_handler import LIVENESS_CHECK, HeadHandler, SentRequest
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.table import UpstreamTable
-from pondpin.standing import BlockReason
 
 # A check waits for a slot like a request; a worker that takes longer is still not well.
 PROBE_SECONDS = 0.5
--- a/pondpin/relay/upstreams/reports.py
+++ b/pondpin/relay/upstreams/reports.py
@@ -3,6 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
+from pondpin.availability import BlockReason
 from pondpin.clocks import Clock
 from pondpin.http_streams import CallFailedError
 from pondpin.relay.log import EventLog
@@ -11,7 +12,6 @@
 from pondpin.relay.ports import ReportPort
 from pondpin.relay.upstreams.notice_handler import HeadHandler, SentRequest, ignore_head
 from pondpin.relay.upstreams.state import UpstreamState
-from pondpin.standing import BlockReason
 
 # A report takes no slot and is sent at once: a way there and back takes a few ms, a lost
 # packet is sent again after a quarter of a second or so.
--- a/pondpin/relay/upstreams/state.py
+++ b/pondpin/relay/upstreams/state.py
@@ -6,6 +6,7 @@
 
 import xxhash
 
+from pondpin.availability import Availability, BlockReason
 from pondpin.health import Health, record_success
 from pondpin.relay.model import EngineReport, ListedUpstream, Load
 from pondpin.relay.upstreams.forecast import DecodeStreams, EngineLoad, PendingPrefill
@@ -22,7 +23,6 @@
     long_prefills_end,
     prefills_end,
 )
-from pondpin.standing import Availability, BlockReason
 
 if TYPE_CHECKING:
     from pondpin.relay.upstreams.long_prefills import ReceivedPrefill
--- a/pondpin/relay/upstreams/table.py
+++ b/pondpin/relay/upstreams/table.py
@@ -7,13 +7,13 @@
 
 import xxhash
 
+from pondpin.availability import MAX_LIVES, AvailabilityTable
 from pondpin.health import record_failure
 from pondpin.relay.mechanisms import Mechanism
 from pondpin.relay.model import ListedUpstream, life_of
 from pondpin.relay.upstreams.data_center_loads import DataCenterLoad, DataCenterLoads
 from pondpin.relay.upstreams.state import FAILING_RATE, UpstreamState, release_id
 from pondpin.relay.upstreams.work import PeerWork, WorkDigest
-from pondpin.standing import MAX_LIVES, AvailabilityTable
 
 if TYPE_CHECKING:
     from pondpin.relay.upstreams.long_prefills import LongPrefill
--- a/pondpin/service_client.py
+++ b/pondpin/service_client.py
@@ -8,7 +8,7 @@
 from pondpin.calls import WholeAnswer
 from pondpin.http_client import HttpClient
 from pondpin.http_streams import CallFailedError, StreamedResponse
-from pondpin.state_header import AddressNoticeHandler, ignore_notice, response_notice
+from pondpin.notice_headers import AddressNoticeHandler, ignore_notice, response_notice
 
 IDEMPOTENCY_HEADER = "idempotency-key"
 PASSED_HEADERS = ("content-type", "accept", IDEMPOTENCY_HEADER)
--- a/pondpin/settings.py
+++ b/pondpin/settings.py
@@ -5,8 +5,8 @@
 from pydantic import Field, TypeAdapter
 from pydantic.dataclasses import dataclass
 
-from pondpin.files import STRICT, decode_document
 from pondpin.network import EndpointText
+from pondpin.pydantic_decoding import STRICT, decode_document
 
 MEBIBYTE = 1 << 20
 MIN_KEY_LENGTH = 32
--- a/pondpin/tests/test_crash_watch.py
+++ b/pondpin/tests/test_crash_monitor.py
@@ -8,7 +8,7 @@
 import unittest
 
 from pondpin.codes import Code, Ran
-from pondpin.crash_watch import BROKEN_SECONDS, CrashMonitor
+from pondpin.crash_monitor import BROKEN_SECONDS, CrashMonitor
 from pondpin.fleet import Fleet, UpstreamState
 from pondpin.http_client import ConnectOutcome
 from pondpin.quarantine import Verdict
--- a/pondpin/tests/test_interface_notices.py
+++ b/pondpin/tests/test_interface_notices.py
@@ -19,9 +19,9 @@
 from pondpin.codes import Code
 from pondpin.controllers.load import LoadController
 from pondpin.errors import PondpinError
-from pondpin.filters.serve import ServiceFilter
+from pondpin.filters.service import ServiceFilter
 from pondpin.fleet import Fleet, UpstreamState
-from pondpin.limit_turns import InstancePosition, LimitSlots
+from pondpin.limit_slots import InstancePosition, LimitSlots
 from pondpin.notices import Notice
 from pondpin.standins.engine import Engine
 from pondpin.standins.faults import Faults
--- a/pondpin/tests/test_notices.py
+++ b/pondpin/tests/test_notices.py
@@ -7,10 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pondpin.limits import LimitReport, merge_reports
-from pondpin.notices import EMPTY_NOTICE, Notice, parse_notice
-from pondpin.platform.requests import PlatformDialect, response_notice
-from pondpin.standing import (
+from pondpin.availability import (
     MAX_JITTER_SECONDS,
     MAX_LIVES,
     SLOW_START_SECONDS,
@@ -20,6 +17,9 @@
     BlockReason,
     find_unavailability,
 )
+from pondpin.notices import EMPTY_NOTICE, Notice, parse_notice
+from pondpin.platform.headers import PlatformDialect, response_notice
+from pondpin.upstream_limits import LimitReport, merge_reports
 
 NOW = 1000.0
 WALL = 1_700_000_000.0
--- a/pondpin/tests/test_platform.py
+++ b/pondpin/tests/test_platform.py
@@ -13,8 +13,8 @@
 from pondpin.http_streams import CallFailedError, StreamedResponse
 from pondpin.network import Endpoint
 from pondpin.platform.documents import PlatformDecoder
+from pondpin.platform.headers import OWNED_HEADERS, PlatformDialect
 from pondpin.platform.reports import PlatformReports
-from pondpin.platform.requests import OWNED_HEADERS, PlatformDialect
 from pondpin.platform.store import PlatformStore
 from pondpin.relay.model import EngineReport, RouteKind
 from pondpin.relay.ports import ConfigurationChange, ForwardMetadata, PartAssignment
--- a/pondpin/tests/test_relay_limit_fleet.py
+++ b/pondpin/tests/test_relay_limit_fleet.py
@@ -13,8 +13,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from pondpin.limits import LimitReport, apply_limit
-from pondpin.pace import Pacer, Permit
+from pondpin.pacer import Pacer, Permit
 from pondpin.relay.model import ListedUpstream
 from pondpin.relay.peers.gossip import Gossip
 from pondpin.relay.peers.permit_broker import ANSWER_TIMEOUT_SECONDS, NoPermit, PermitBroker
@@ -23,6 +22,7 @@
 from pondpin.standins.limits_kept import AIM, most_over
 from pondpin.standins.wishes import Wishes
 from pondpin.tools.gossip_fleet import DELAY_SECONDS, GossipFleet
+from pondpin.upstream_limits import LimitReport, apply_limit
 
 SERVICE = "plain"
 CENTERS = 3
--- a/pondpin/tests/test_relay_notice_matrix.py
+++ b/pondpin/tests/test_relay_notice_matrix.py
@@ -14,7 +14,6 @@
 
 from pondpin.codes import Code
 from pondpin.http_streams import CallFailedError
-from pondpin.limits import LimitReport, apply_limit
 from pondpin.notices import Notice
 from pondpin.relay.attempts.send_checks import SendChecks
 from pondpin.relay.entry import RelayEntry
@@ -26,6 +25,7 @@
 from pondpin.standins.worker import Worker, WorkerFault
 from pondpin.tests.support import RelayTest, ask
 from pondpin.tests.test_relay_notice_paths import code_of, state_of
+from pondpin.upstream_limits import LimitReport, apply_limit
 
 ASKED = 18
 
--- a/pondpin/tests/test_relay_notice_paths.py
+++ b/pondpin/tests/test_relay_notice_paths.py
@@ -8,6 +8,7 @@
 
 import msgspec
 
+from pondpin.availability import BlockReason
 from pondpin.codes import INFO_BY_CODE, Code
 from pondpin.http_client import HttpResponse
 from pondpin.http_connections import CheckedConnectionPool
@@ -27,7 +28,6 @@
 from pondpin.relay.upstreams.probe import is_probe_due
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.relay.upstreams.table import UpstreamTable
-from pondpin.standing import BlockReason
 from pondpin.standins.local_platform import ENGINES, PLAIN, LocalPlatform
 from pondpin.standins.published_store import StoreFault
 from pondpin.standins.store_state import UPSTREAMS_PREFIX
--- a/pondpin/tests/test_relay_unlisted_life.py
+++ b/pondpin/tests/test_relay_unlisted_life.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from pondpin.standing import Availability, BlockReason, Rest
+from pondpin.availability import Availability, BlockReason, Rest
 from pondpin.standins.local_platform import PLAIN, LocalPlatform
 from pondpin.standins.wishes import windows_over
 from pondpin.tests.support import RelayTest, ask
--- a/pondpin/tools/ctl.py
+++ b/pondpin/tools/ctl.py
@@ -11,11 +11,11 @@
 import msgspec
 from rich.console import Console
 
+from pondpin.command_files import read_or_exit
 from pondpin.configuration import Configuration, configuration_schema, read_configuration
 from pondpin.decisions import Decision, tell
 from pondpin.filters.rule import find_length_class, find_rule
 from pondpin.fleet import label_upstream
-from pondpin.reading import read_or_exit
 from pondpin.runtime import USAGE_STATUS, ParsedCommand, run_command
 from pondpin.selectors import SelectorError, parse_selector
 from pondpin.settings import read_settings, settings_schema
--- a/pondpin/tools/measure_limit_ways.py
+++ b/pondpin/tools/measure_limit_ways.py
@@ -18,7 +18,7 @@
 
 import xxhash
 
-from pondpin.pace import Pacer
+from pondpin.pacer import Pacer
 from pondpin.relay.peers.permit_issuer import Membership, owner_of
 from pondpin.runtime import ParsedCommand, run_command
 
--- a/pondpin/tools/measure_rests.py
+++ b/pondpin/tools/measure_rests.py
@@ -2,7 +2,7 @@
 
 8 instances before 6 upstreams of 6 slots. An upstream that is full turns away and asks for rest; a
 request works 0.1 s, its target is 0.4 s, its caller waits 4 s and comes back once, as told. The
-decision is the product's (`pondpin.standing`); the ways differ in what stands around it.
+decision is the product's (`pondpin.availability`); the ways differ in what stands around it.
 """
 
 import asyncio
@@ -10,9 +10,9 @@
 from collections import Counter
 from dataclasses import dataclass, field, replace
 
+from pondpin.availability import Availability, BlockReason, find_unavailability
 from pondpin.notices import Notice
 from pondpin.runtime import ParsedCommand, run_command
-from pondpin.standing import Availability, BlockReason, find_unavailability
 from pondpin.tools.virtual_time import run_virtual
 
 INSTANCES = 8
--- a/pondpin/tools/report.py
+++ b/pondpin/tools/report.py
@@ -11,13 +11,13 @@
 from rich.console import Console
 
 from pondpin.burn import RULES, Burn, Count, burn_over, is_alerting
+from pondpin.command_files import read_or_exit
 from pondpin.configuration import (
     Configuration,
     Objective,
     decode_configuration,
     read_configuration,
 )
-from pondpin.reading import read_or_exit
 from pondpin.runtime import ParsedCommand, run, run_command
 from pondpin.tools.objectives import alert_rules, count_events, show_window
 from pondpin.tools.operator_client import OperatorClient, OperatorError, make_client
--- a/pondpin/limits.py
+++ b/pondpin/upstream_limits.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, replace
 from typing import TypeVar
 
+from pondpin.availability import Availability, AvailabilityTable, Rest
 from pondpin.notices import DECIMAL
-from pondpin.standing import Availability, AvailabilityTable, Rest
 
 Life = TypeVar("Life", bound=Hashable)
 
