--- a/pondpin/relay/choosing/__init__.py
+++ b/pondpin/relay/choosing/__init__.py
@@ -1,1 +1,1 @@
-"""Which upstream takes a request, when, and how long its silence is borne."""
+"""Upstream selection, dispatch order, stall timeouts and retry budgets."""
--- a/pondpin/relay/choosing/baselines.py
+++ b/pondpin/relay/choosing/baselines.py
@@ -1,4 +1,4 @@
-"""What simpler placements do; kept to be measured against."""
+"""Baseline placement policies for comparison with the forecasting one."""
 
 import random
 
@@ -17,7 +17,7 @@
     rng: random.Random,
     now: float,
 ) -> tuple[UpstreamState, EngineChoice]:
-    """An engine by chance, or one of those with the fewest requests; nothing is foreseen."""
+    """Pick a random engine, or one with the fewest requests in flight, without a forecast."""
     lead = rng.choice(states)
     if placement is PlacementPolicy.LEAST_OUTSTANDING:
         lead = min(states, key=lambda state: (state.in_flight(now), rng.random()))
--- a/pondpin/relay/choosing/jobs.py
+++ b/pondpin/relay/choosing/jobs.py
@@ -1,4 +1,4 @@
-"""What a choice is made of: the request as a job, and engines in the order that all share."""
+"""Inputs of engine selection: jobs, and the common order of engines."""
 
 from collections import Counter
 
@@ -9,22 +9,22 @@
 
 
 def interleave_data_centers(states: list[UpstreamState]) -> list[UpstreamState]:
-    """The first engines of all data centres, then the second ones and so on.
+    """Order engines by their position in their data centre: all first ones, all second ones, ...
 
-    Light streams have the first engines of their data centre; long prompts of all keep off these.
+    The first engines of each data centre are its light pool, which long prompts of all avoid.
     """
     counts: Counter[str] = Counter()
     ranked = []
     for state in states:
-        center = state.listed.data_center
-        ranked.append((counts[center], state))
-        counts[center] += 1
+        data_center = state.listed.data_center
+        ranked.append((counts[data_center], state))
+        counts[data_center] += 1
     return [state for _, state in sorted(ranked, key=lambda item: item[0])]
 
 
 def make_job(call: RelayCall, progress: Progress, now: float) -> Job:
-    """What placement needs to know of a call."""
-    # A caller that has events waits anew for the next one.
+    """Build the placement view of a call."""
+    # The caller's timeout restarts with each event.
     since = progress.last_at if progress.events else call.arrived
     return Job(
         prompt_tokens=call.facts.prompt_tokens,
@@ -38,7 +38,7 @@
 
 
 def is_light_call(call: RelayCall, progress: Progress) -> bool:
-    """Whether a call takes no engine's time that others would miss: plain, or a light stream."""
+    """Whether a call is plain or a light stream, whose prefill delays no others."""
     service = call.configuration.services_by_name.get(call.service)
     profile = service.engine if service is not None else None
     if profile is None or call.facts.prompt_tokens <= 0:
--- a/pondpin/relay/choosing/prefill_queue.py
+++ b/pondpin/relay/choosing/prefill_queue.py
@@ -1,8 +1,8 @@
-"""The order in which long prompts that wait for engines are sent, common to all instances.
+"""Queue of long prompts that wait for engines, ordered alike on all instances.
 
-Engines read the newest part first, so two long prompts on the same engines delay each other. A long
-prompt therefore waits at its instance until its engines have read what they hold. Each instance
-tells its peers which prompts wait, and sends its own only when it is first in the common order.
+Engines prefill the newest part first, so two long prompts on the same engines delay each other. A
+long prompt therefore waits at its instance until its engines have finished their current prefills.
+Each instance reports its queued prompts to its peers and sends one only when it is first overall.
 """
 
 from collections.abc import Iterable, Sequence
@@ -10,18 +10,15 @@
 
 import msgspec
 
-MILLISECONDS = 1000.0
-# What a prompt costs its engines beside reading: a pass that is under way, the first token.
-TURN_SECONDS = 0.08
-# A peer that is first and does not send within this time does not hold up the others.
+MS_PER_SECOND = 1000.0
+# Engine time per prompt besides its prefill: the pass in progress and the first token.
+OVERHEAD_SECONDS = 0.08
+# Lifetime of a peer's entries, so that a silent peer at the head doesn't block the others.
 PEER_ENTRY_TTL_SECONDS = 0.6
 
 
 class QueuedPromptDigest(msgspec.Struct, frozen=True, array_like=True):
-    """A prompt that waits at its sender; reading is in ms, due in ms from now.
-
-    key is a random number. See WaitingPrompt.
-    """
+    """A QueuedPrompt of the sender; due_ms counts from the time of sending."""
 
     key: int
     prefill_ms: int
@@ -30,9 +27,9 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedPrompt:
-    """A long prompt that waits for its turn.
+    """A long prompt that waits to be sent.
 
-    reading: seconds of one engine; due: when its first event is due, by this process's clock.
+    prefill_seconds: on one engine; due_at: when its first event is due, by the local clock.
     """
 
     key: int
@@ -41,84 +38,85 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _PeerWaiting:
+class _PeerQueue:
     prompts: tuple[QueuedPrompt, ...]
-    until: float
+    expiry: float
 
 
-def dispatch_order(waiting: Iterable[QueuedPrompt], now: float, engines: int) -> list[QueuedPrompt]:
-    """Those that wait in the order in which they are sent, taking all engines as one machine.
+def dispatch_order(prompts: Iterable[QueuedPrompt], now: float, engines: int) -> list[QueuedPrompt]:
+    """Sort queued prompts into sending order, with all engines modelled as one machine.
 
-    By due time; when not all can be in time the longest gives way, which keeps the number that
-    is late least (Moore and Hodgson). Those come last, the shortest first.
+    Earliest due first. When one would be late, the longest so far moves to the end, which minimises
+    the number of late prompts (Moore-Hodgson). Late ones go last, shortest first.
     """
-    chosen: list[QueuedPrompt] = []
+    on_time: list[QueuedPrompt] = []
     late: list[QueuedPrompt] = []
     end = now
-    for prompt in sorted(waiting, key=lambda item: (item.due_at, item.key)):
-        chosen.append(prompt)
-        end += _turn(prompt, engines)
+    for prompt in sorted(prompts, key=lambda item: (item.due_at, item.key)):
+        on_time.append(prompt)
+        end += _service_seconds(prompt, engines)
         if end > prompt.due_at:
-            longest = max(chosen, key=lambda item: (item.prefill_seconds, item.key))
-            chosen.remove(longest)
+            longest = max(on_time, key=lambda item: (item.prefill_seconds, item.key))
+            on_time.remove(longest)
             late.append(longest)
-            end -= _turn(longest, engines)
-    return chosen + sorted(late, key=lambda item: (item.prefill_seconds, item.key))
+            end -= _service_seconds(longest, engines)
+    return on_time + sorted(late, key=lambda item: (item.prefill_seconds, item.key))
 
 
-def _turn(prompt: QueuedPrompt, engines: int) -> float:
-    """Seconds that a prompt takes when all engines read it."""
-    return prompt.prefill_seconds / max(1, engines) + TURN_SECONDS
+def _service_seconds(prompt: QueuedPrompt, engines: int) -> float:
+    return prompt.prefill_seconds / max(1, engines) + OVERHEAD_SECONDS
 
 
 class PrefillQueue:
-    """The long prompts that wait here and at peers."""
+    """The long prompts queued on this instance and on its peers."""
 
     def __init__(self) -> None:
-        self.own_by_key: dict[int, QueuedPrompt] = {}
-        self._peers: dict[str, _PeerWaiting] = {}
+        self._local_by_key: dict[int, QueuedPrompt] = {}
+        self._peers: dict[str, _PeerQueue] = {}
 
     def add(self, prompt: QueuedPrompt) -> None:
-        """A prompt begins to wait here."""
-        self.own_by_key[prompt.key] = prompt
+        """Queue a prompt of this instance."""
+        self._local_by_key[prompt.key] = prompt
 
     def remove(self, key: int) -> None:
-        """A prompt of this instance waits no more."""
-        self.own_by_key.pop(key, None)
+        """Remove a prompt of this instance."""
+        self._local_by_key.pop(key, None)
 
     def update_peer(
-        self, instance: str, waiting: Sequence[QueuedPromptDigest], now: float, until: float
+        self, instance: str, digests: Sequence[QueuedPromptDigest], now: float, expiry: float
     ) -> None:
-        """Take a peer's word on what waits there; it counts until until."""
+        """Replace the queued prompts of a peer."""
         prompts = tuple(
-            QueuedPrompt(item.key, item.prefill_ms / MILLISECONDS, now + item.due_ms / MILLISECONDS)
-            for item in waiting
+            QueuedPrompt(
+                item.key, item.prefill_ms / MS_PER_SECOND, now + item.due_ms / MS_PER_SECOND
+            )
+            for item in digests
         )
         if prompts:
-            self._peers[instance] = _PeerWaiting(prompts, min(until, now + PEER_ENTRY_TTL_SECONDS))
+            self._peers[instance] = _PeerQueue(prompts, min(expiry, now + PEER_ENTRY_TTL_SECONDS))
         else:
             self._peers.pop(instance, None)
 
     def digest(self, now: float) -> tuple[QueuedPromptDigest, ...]:
-        """What waits here, for peers."""
+        """The local queue as sent to peers."""
         return tuple(
             QueuedPromptDigest(
                 prompt.key,
-                round(prompt.prefill_seconds * MILLISECONDS),
-                round((prompt.due_at - now) * MILLISECONDS),
+                round(prompt.prefill_seconds * MS_PER_SECOND),
+                round((prompt.due_at - now) * MS_PER_SECOND),
             )
-            for prompt in self.own_by_key.values()
+            for prompt in self._local_by_key.values()
         )
 
     def queued(self, now: float) -> list[QueuedPrompt]:
-        """All that wait, here and at peers that were heard lately."""
-        found = list(self.own_by_key.values())
+        """All queued prompts, local and unexpired ones of peers."""
+        entries = list(self._local_by_key.values())
         for peer in self._peers.values():
-            if now < peer.until:
-                found += peer.prompts
-        return found
+            if now < peer.expiry:
+                entries += peer.prompts
+        return entries
 
     def is_first(self, key: int, now: float, engines: int) -> bool:
-        """Whether it is the turn of a prompt that waits here."""
+        """Whether a prompt is at the head of the common queue."""
         order = dispatch_order(self.queued(now), now, engines)
         return bool(order) and order[0].key == key
--- a/pondpin/relay/choosing/retry_window.py
+++ b/pondpin/relay/choosing/retry_window.py
@@ -1,22 +1,22 @@
-"""This instance's share of the retries that all instances may make at a service.
+"""This instance's share of the retry budget of a service, which all instances share.
 
-Counts stand in a sliding window, since the bound holds for every span of the window's length.
+The window slides because the bound holds for every interval of its length.
 """
 
 from collections import deque
 from dataclasses import dataclass, field
 
-# Requests of the last half window may leave the window before retries do.
+# Up to half a window of requests may leave the window before the retries that they allowed.
 RATIO_SHARE = 0.6
-# Peers come and go faster than they are noticed; a quarter of the allowance stays unused.
+# Membership changes are noticed late, so a quarter of the allowance stays unused.
 ALLOWANCE_SHARE = 0.75
-# An instance that has not heard of its peers yet is not alone.
+# Lower bound, for an instance that has not discovered its peers yet.
 MIN_INSTANCES = 4
 
 
 @dataclass(frozen=True, slots=True)
 class RetryBounds:
-    """retries <= ratio x requests + allowance within a window of seconds, over all instances."""
+    """retries <= ratio * requests + allowance per window (seconds), over all instances."""
 
     ratio: float = 0.2
     allowance: float = 20.0
@@ -25,35 +25,35 @@
 
 @dataclass(slots=True)
 class RetryWindow:
-    """Times of own requests and retries within the window."""
+    """Times of this instance's requests and retries within the window."""
 
     bounds: RetryBounds
     requests: deque[float] = field(default_factory=deque)
     retries: deque[float] = field(default_factory=deque)
 
     def record_request(self, now: float) -> None:
-        """A caller's request for the service arrived."""
+        """Record a caller's request for the service."""
         self._trim(now)
         self.requests.append(now)
 
-    def spend(self, now: float, sharers: int) -> bool:
-        """Take one retry if the share has one left.
+    def spend(self, now: float, instances: int) -> bool:
+        """Use one retry of this instance's share; False when none is left.
 
-        sharers counts peers that fell silent too: they may be cut off from here and alive.
+        instances counts silent peers too: they may be alive behind a network partition.
         """
-        if not self.has_budget(now, sharers):
+        if not self.has_budget(now, instances):
             return False
         self.retries.append(now)
         return True
 
-    def has_budget(self, now: float, sharers: int) -> bool:
-        """Whether the share has a retry left now."""
+    def has_budget(self, now: float, instances: int) -> bool:
+        """Whether this instance's share has a retry left."""
         self._trim(now)
-        return len(self.retries) + 1 <= self.limit(sharers)
+        return len(self.retries) + 1 <= self.limit(instances)
 
-    def limit(self, sharers: int) -> float:
-        """Retries that this instance may make within a window."""
-        allowance = self.bounds.allowance * ALLOWANCE_SHARE / max(MIN_INSTANCES, sharers)
+    def limit(self, instances: int) -> float:
+        """Retries that this instance may make per window."""
+        allowance = self.bounds.allowance * ALLOWANCE_SHARE / max(MIN_INSTANCES, instances)
         return self.bounds.ratio * RATIO_SHARE * len(self.requests) + allowance
 
     def _trim(self, now: float) -> None:
--- a/pondpin/relay/choosing/routing.py
+++ b/pondpin/relay/choosing/routing.py
@@ -1,4 +1,4 @@
-"""Finds a request's route, account and service."""
+"""Lookup of a request's route, account and service."""
 
 import math
 from collections.abc import Sequence
@@ -7,7 +7,7 @@
 
 
 def find_route(configuration: RelayConfiguration, host: str, path: str) -> Route | None:
-    """The route of the host with the longest prefix that begins the path."""
+    """Find the route of the host with the longest matching path prefix."""
     for route in configuration.routes_by_host.get(host, ()):
         if path.startswith(route.prefix):
             return route
@@ -15,22 +15,22 @@
 
 
 def find_account(configuration: RelayConfiguration, key: str) -> ClientAccount | None:
-    """The account that holds a key."""
+    """Find the account of an API key."""
     return configuration.accounts_by_key.get(key) if key else None
 
 
 def needs_key(configuration: RelayConfiguration, route: Route) -> bool:
-    """Whether the route's requests carry a key."""
+    """Whether requests of the route need an API key."""
     return bool(configuration.accounts_by_key) and not route.public
 
 
 def service_gap_target(configuration: RelayConfiguration, service: str) -> float:
-    """The strictest target of pauses among the streams that share a service, in seconds."""
+    """The smallest gap target among the routes of a service, in seconds; infinite if none."""
     return configuration.shortest_gap_by_service.get(service, math.inf)
 
 
 def pick_service(shares: Sequence[ServiceShare], draw: float) -> str:
-    """The service that a draw between 0 and 1 falls on."""
+    """Pick a service by weight with a random draw in [0, 1)."""
     total = sum(share.weight for share in shares)
     point = draw * total
     for share in shares:
--- a/pondpin/relay/choosing/stall_timeouts.py
+++ b/pondpin/relay/choosing/stall_timeouts.py
@@ -1,4 +1,4 @@
-"""How long an attempt may be silent before its upstream is asked, or another one is tried."""
+"""Timeouts for silent attempts: when to query the upstream, and when to retry."""
 
 from dataclasses import dataclass
 
@@ -7,29 +7,27 @@
 from pondpin.relay.mechanisms import Mechanism
 from pondpin.relay.model import RouteKind
 
-# A second try at another upstream begins after this multiple of the forecast, but not before
-# the shortest, and while the caller still has time for it.
-FORECAST_PATIENCE = 2.0
+FORECAST_FACTOR = 2.0
 FORECAST_SLACK_SECONDS = 0.4
-SHORTEST_PATIENCE = 0.8
-# An engine that is silent for this multiple of the forecast is asked whether it lives.
-ASK_TIMES = 1.5
-ASK_SLACK_SECONDS = 0.3
-# Shares of the time after which a caller gives a silent stream up: before the first event,
-# between events, and for prompts read in parts, before whose parts others may go.
-PATIENCE_SHARE = 0.6
-GAP_PATIENCE_SHARE = 0.6
-HELPED_PATIENCE_SHARE = 0.85
-# A repeatable plain call is tried elsewhere after this multiple of its target.
-SAFE_PATIENCE_TARGETS = 2.5
-SHORTEST_SAFE_PATIENCE = 0.5
+MIN_TIMEOUT_SECONDS = 0.8
+QUERY_FACTOR = 1.5
+QUERY_SLACK_SECONDS = 0.3
+# Retry timeouts as shares of the caller's: for the first event, between events, and for the first
+# event of a prompt in parts, whose parts other prefills may delay.
+FIRST_EVENT_SHARE = 0.6
+GAP_SHARE = 0.6
+HELPED_SHARE = 0.85
+# A safe plain call is retried after this multiple of its target.
+SAFE_FACTOR = 2.5
+MIN_SAFE_SECONDS = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class StallTimeouts:
-    """Seconds of silence after which an attempt counts as stalled, before and after the first
-    event; None waits until the deadline. ask: seconds after which a silent upstream is asked
-    whether it lives, None when it can't be asked."""
+    """Silence after which an attempt counts as stalled, before and after its first event.
+
+    None waits until the deadline. query_seconds: silence before a status query, None without one.
+    """
 
     first_event_seconds: float | None
     gap_seconds: float | None
@@ -37,30 +35,27 @@
 
 
 def stall_timeouts_for(
-    call: RelayCall, plan: Plan, policy: RelayPolicy, may_go_elsewhere: bool
+    call: RelayCall, plan: Plan, policy: RelayPolicy, can_retry: bool
 ) -> StallTimeouts:
-    """The patience with an attempt at a planned upstream.
-
-    Without another attempt silence is no reason to end an answer: the caller may wait on.
-    """
-    if not call.route.idempotent or not may_go_elsewhere:
+    """Stall timeouts of a planned attempt; none without a retry, as the caller may still wait."""
+    if not call.route.idempotent or not can_retry:
         return StallTimeouts(None, None)
     if call.route.kind is RouteKind.SAFE:
-        first = max(SHORTEST_SAFE_PATIENCE, SAFE_PATIENCE_TARGETS * call.route.target)
+        first = max(MIN_SAFE_SECONDS, SAFE_FACTOR * call.route.target)
         return StallTimeouts(first, None)
     if not policy.has(Mechanism.SECOND_TRIES):
         return StallTimeouts(None, None)
-    gap = GAP_PATIENCE_SHARE * call.patience
+    gap = GAP_SHARE * call.patience
     forecast = plan.choice.first_event_seconds if plan.choice is not None else 0.0
-    ask = None
+    query = None
     if policy.has(Mechanism.REPORTS):
-        ask = ASK_TIMES * forecast + ASK_SLACK_SECONDS
+        query = QUERY_FACTOR * forecast + QUERY_SLACK_SECONDS
     if plan.helpers:
-        # The engine itself tells of lost helpers.
-        return StallTimeouts(HELPED_PATIENCE_SHARE * call.patience, gap, ask)
+        # The lead reports lost helpers itself.
+        return StallTimeouts(HELPED_SHARE * call.patience, gap, query)
     first = max(
-        SHORTEST_PATIENCE,
-        FORECAST_PATIENCE * forecast + FORECAST_SLACK_SECONDS,
-        PATIENCE_SHARE * call.patience,
+        MIN_TIMEOUT_SECONDS,
+        FORECAST_FACTOR * forecast + FORECAST_SLACK_SECONDS,
+        FIRST_EVENT_SHARE * call.patience,
     )
-    return StallTimeouts(first, gap, ask)
+    return StallTimeouts(first, gap, query)
--- a/pondpin/tests/test_relay_rules.py
+++ b/pondpin/tests/test_relay_rules.py
@@ -114,8 +114,8 @@
 
     def test_the_shorter_of_both_time_limits_counts(self) -> None:
         admitted = self.admit(0.1)
-        self.assertEqual(getattr(admitted, "seconds", None), 2.0)
-        self.assertEqual(getattr(self.admit(0.1, deadline=0.5), "seconds", None), 0.5)
+        self.assertEqual(getattr(admitted, "timeout", None), 2.0)
+        self.assertEqual(getattr(self.admit(0.1, deadline=0.5), "timeout", None), 0.5)
 
     def test_the_account_sets_the_rank(self) -> None:
         admitted = self.admit(0.1)
