--- a/pondpin/tests/test_relay_pool_load.py
+++ b/pondpin/tests/test_relay_pool_load.py
@@ -1,4 +1,4 @@
-"""Loads played on the decision code alone, on a model of engines: what callers get."""
+"""Simulated load on the planners of several data centres with modelled engines."""
 
 import heapq
 import itertools
@@ -11,92 +11,94 @@
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.tests.test_relay_planner import PROFILE, make_call
 
-CENTERS = tuple(f"c{number}" for number in range(5))
-ENGINES_EACH = 3
+DATA_CENTERS = tuple(f"c{number}" for number in range(5))
+ENGINES_PER_DATA_CENTER = 3
 START = 1000.0
 SECONDS = 60.0
-# Short streams that arrive in all, and how long one is written: under half of the places are taken.
+# Arrivals over all data centres and mean duration of a stream: under half of the slots are used.
 STREAMS_PER_SECOND = 30.0
 STREAM_SECONDS = 1.6
-TOLD_SECONDS = 0.4
+REPORT_SECONDS = 0.4
 
 
-class Rig:
-    """Five data centres with three engines each; the instances of one know of each other's work.
+class Simulation:
+    """Five data centres with three engines each, and one planner per data centre.
 
-    Of the others they know what is told: the loads of each data centre as a whole.
+    A planner knows the work of its own data centre, and of the others the aggregate load reports.
     """
 
     def __init__(self, seed: int) -> None:
         self.now = START
         self.rng = random.Random(seed)
         listed = [
-            ListedUpstream(f"{center}-{n}", "engines", "10.0.0.1", n, center, PROFILE.slots, False)
-            for center in CENTERS
-            for n in range(ENGINES_EACH)
+            ListedUpstream(
+                f"{data_center}-{n}", "engines", "10.0.0.1", n, data_center, PROFILE.slots, False
+            )
+            for data_center in DATA_CENTERS
+            for n in range(ENGINES_PER_DATA_CENTER)
         ]
-        self.tables = {center: UpstreamTable(center) for center in CENTERS}
+        self.tables = {data_center: UpstreamTable(data_center) for data_center in DATA_CENTERS}
         for table in self.tables.values():
             table.apply_list(listed, [])
             table.all_peers_report_work = False
         self.planners = {
-            center: Planner(table, lambda: self.now, random.Random(seed), lambda: None)
-            for center, table in self.tables.items()
+            data_center: Planner(table, lambda: self.now, random.Random(seed), lambda: None)
+            for data_center, table in self.tables.items()
         }
         self.open_by_engine = {item.id: 0 for item in listed}
-        self.ends: list[tuple[float, int, int, str, Plan]] = []
-        self.numbers = itertools.count()
+        self.active: list[tuple[float, int, int, str, Plan]] = []
+        self.sequence = itertools.count()
         self.placed_by_engine = {item.id: 0 for item in listed}
-        self.found_full = 0
+        self.placed_on_full = 0
 
-    def play(self) -> None:
-        """Let streams arrive for a while."""
-        told_at = START
+    def run(self) -> None:
+        """Let streams arrive for SECONDS."""
+        reported_at = START
         while self.now < START + SECONDS:
             self.now += self.rng.expovariate(STREAMS_PER_SECOND)
-            while self.ends and self.ends[0][0] <= self.now:
-                _, _, key, center, plan = heapq.heappop(self.ends)
-                self.planners[center].end_attempt(plan, key)
+            while self.active and self.active[0][0] <= self.now:
+                _, _, key, data_center, plan = heapq.heappop(self.active)
+                self.planners[data_center].end_attempt(plan, key)
                 self.open_by_engine[plan.lead.id] -= 1
-            if self.now - told_at > TOLD_SECONDS:
-                told_at = self.now
-                self.tell()
-            self.place(self.rng.choice(CENTERS))
+            if self.now - reported_at > REPORT_SECONDS:
+                reported_at = self.now
+                self.report()
+            self.place(self.rng.choice(DATA_CENTERS))
 
-    def tell(self) -> None:
-        """Every data centre hears how crowded the others are."""
-        for there, table in self.tables.items():
-            for center in CENTERS:
-                if center != there:
-                    loads = self.tables[center].own_data_center_loads(self.now)
-                    table.data_center_loads.update(center, loads, self.now)
+    def report(self) -> None:
+        """Send the load of each data centre to all others."""
+        for receiver, table in self.tables.items():
+            for data_center in DATA_CENTERS:
+                if data_center != receiver:
+                    loads = self.tables[data_center].own_data_center_loads(self.now)
+                    table.data_center_loads.update(data_center, loads, self.now)
 
-    def place(self, center: str) -> None:
-        """One stream arrives at an instance of a data centre."""
-        planner, call = self.planners[center], make_call(5000)
+    def place(self, data_center: str) -> None:
+        """Place a stream that arrives in a data centre."""
+        planner, call = self.planners[data_center], make_call(5000)
         plan = planner.plan(call, Progress(), frozenset())
         assert plan is not None
         key = planner.begin_attempt(call, Progress(), plan)
         planner.record_first_event(plan, key)
         name = plan.lead.id
-        self.found_full += self.open_by_engine[name] >= PROFILE.slots
+        self.placed_on_full += self.open_by_engine[name] >= PROFILE.slots
         self.open_by_engine[name] += 1
         self.placed_by_engine[name] += 1
         end = self.now + STREAM_SECONDS * self.rng.uniform(0.7, 1.3)
-        heapq.heappush(self.ends, (end, next(self.numbers), key, center, plan))
+        heapq.heappush(self.active, (end, next(self.sequence), key, data_center, plan))
 
 
-class FewEnginesEachTest(unittest.TestCase):
-    def test_short_streams_find_free_places(self) -> None:
-        # With one pool for all, sized by the fifth of its streams that an instance knows, 89 to 91
-        # in 100 found their engine full on these seeds, though 40 in 100 places were taken.
+class FewEnginesPerDataCenterTest(unittest.TestCase):
+    def test_short_streams_find_free_slots(self) -> None:
+        # With one common pool, sized by the fifth of its streams that an instance knows, 89 to 91 %
+        # of the streams were placed on a full engine although 40 % of the slots were in use.
         for seed in (1, 2, 3):
             with self.subTest(seed=seed):
-                rig = Rig(seed)
-                rig.play()
-                placed = sum(rig.placed_by_engine.values())
+                simulation = Simulation(seed)
+                simulation.run()
+                placed = sum(simulation.placed_by_engine.values())
                 self.assertGreater(placed, 1000)
-                self.assertLessEqual(rig.found_full / placed, 0.01)
+                self.assertLessEqual(simulation.placed_on_full / placed, 0.01)
 
 
 if __name__ == "__main__":
--- a/pondpin/tests/test_relay_prefill_queue.py
+++ b/pondpin/tests/test_relay_prefill_queue.py
@@ -1,4 +1,4 @@
-"""The order of long prompts that wait for engines, common to all instances."""
+"""Tests of the queue of long prompts and its order, which all instances share."""
 
 import random
 import unittest
@@ -20,63 +20,63 @@
     return QueuedPrompt(key, reading, NOW + due)
 
 
-def keys(*waiting: QueuedPrompt, engines: int = 10) -> list[int]:
+def ordered_keys(*waiting: QueuedPrompt, engines: int = 10) -> list[int]:
     return [item.key for item in dispatch_order(waiting, NOW, engines)]
 
 
-class OrderTest(unittest.TestCase):
-    def test_the_earliest_due_goes_first_while_all_are_in_time(self) -> None:
-        self.assertEqual(keys(prompt(1, 4.0, 3.0), prompt(2, 4.0, 2.0)), [2, 1])
+class DispatchOrderTest(unittest.TestCase):
+    def test_earliest_due_first_while_all_can_be_on_time(self) -> None:
+        self.assertEqual(ordered_keys(prompt(1, 4.0, 3.0), prompt(2, 4.0, 2.0)), [2, 1])
 
-    def test_the_longest_gives_way_when_not_all_can_be_in_time(self) -> None:
+    def test_longest_goes_last_when_not_all_can_be_on_time(self) -> None:
         long = prompt(1, 20.0, 2.5)
         short = [prompt(number, 4.0, 2.7) for number in (2, 3, 4)]
-        self.assertEqual(keys(long, *short), [2, 3, 4, 1])
+        self.assertEqual(ordered_keys(long, *short), [2, 3, 4, 1])
 
-    def test_those_that_are_late_go_shortest_first(self) -> None:
+    def test_late_prompts_go_shortest_first(self) -> None:
         late = [prompt(1, 9.0, -1.0), prompt(2, 3.0, -1.0)]
-        self.assertEqual(keys(*late, prompt(3, 20.0, 3.0)), [3, 2, 1])
+        self.assertEqual(ordered_keys(*late, prompt(3, 20.0, 3.0)), [3, 2, 1])
 
     @given(st.lists(st.tuples(st.floats(0.1, 30.0), st.floats(-2.0, 6.0)), min_size=1, max_size=12))
-    def test_any_order_of_arrival_gives_the_same(self, given: list[tuple[float, float]]) -> None:
+    def test_order_does_not_depend_on_arrival(self, given: list[tuple[float, float]]) -> None:
         waiting = [prompt(key, reading, due) for key, (reading, due) in enumerate(given)]
-        found = keys(*waiting)
-        self.assertEqual(sorted(found), list(range(len(given))))
+        ordered = ordered_keys(*waiting)
+        self.assertEqual(sorted(ordered), list(range(len(given))))
         random.Random(1).shuffle(waiting)
-        self.assertEqual(keys(*waiting), found)
+        self.assertEqual(ordered_keys(*waiting), ordered)
 
 
-class CalendarTest(unittest.TestCase):
+class PrefillQueueTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.here = PrefillQueue()
-        self.there = PrefillQueue()
-
-    def tell(self, now: float = NOW) -> None:
-        self.here.update_peer("there", self.there.digest(now), now, now + 5.0)
-
-    def test_instances_agree_on_who_is_first(self) -> None:
-        self.here.add(prompt(1, 4.0, 3.0))
-        self.there.add(prompt(2, 4.0, 2.0))
-        self.tell()
-        self.there.update_peer("here", self.here.digest(NOW), NOW, NOW + 5.0)
-        self.assertFalse(self.here.is_first(1, NOW, 10))
-        self.assertTrue(self.there.is_first(2, NOW, 10))
-
-    def test_a_peer_that_falls_silent_holds_nobody_up(self) -> None:
-        self.here.add(prompt(1, 4.0, 3.0))
-        self.there.add(prompt(2, 4.0, 2.0))
-        self.tell()
-        self.assertTrue(self.here.is_first(1, NOW + PEER_ENTRY_TTL_SECONDS, 10))
-
-    def test_what_a_peer_sent_waits_no_more(self) -> None:
-        self.here.add(prompt(1, 4.0, 3.0))
-        self.there.add(prompt(2, 4.0, 2.0))
-        self.tell()
-        self.there.remove(2)
-        self.tell()
-        self.assertTrue(self.here.is_first(1, NOW, 10))
-        self.here.remove(1)
-        self.assertEqual(self.here.queued(NOW), [])
+        self.local = PrefillQueue()
+        self.remote = PrefillQueue()
+
+    def report(self, now: float = NOW) -> None:
+        self.local.update_peer("there", self.remote.digest(now), now, now + 5.0)
+
+    def test_instances_agree_on_the_first_prompt(self) -> None:
+        self.local.add(prompt(1, 4.0, 3.0))
+        self.remote.add(prompt(2, 4.0, 2.0))
+        self.report()
+        self.remote.update_peer("here", self.local.digest(NOW), NOW, NOW + 5.0)
+        self.assertFalse(self.local.is_first(1, NOW, 10))
+        self.assertTrue(self.remote.is_first(2, NOW, 10))
+
+    def test_entries_of_a_silent_peer_expire(self) -> None:
+        self.local.add(prompt(1, 4.0, 3.0))
+        self.remote.add(prompt(2, 4.0, 2.0))
+        self.report()
+        self.assertTrue(self.local.is_first(1, NOW + PEER_ENTRY_TTL_SECONDS, 10))
+
+    def test_prompt_sent_by_a_peer_leaves_the_queue(self) -> None:
+        self.local.add(prompt(1, 4.0, 3.0))
+        self.remote.add(prompt(2, 4.0, 2.0))
+        self.report()
+        self.remote.remove(2)
+        self.report()
+        self.assertTrue(self.local.is_first(1, NOW, 10))
+        self.local.remove(1)
+        self.assertEqual(self.local.queued(NOW), [])
 
 
 if __name__ == "__main__":
--- a/pondpin/tests/test_relay_stall_timeouts.py
+++ b/pondpin/tests/test_relay_stall_timeouts.py
@@ -1,4 +1,4 @@
-"""How long an attempt may be silent."""
+"""Tests of stall timeouts, of waiting for a silent stream, and of the retry budget."""
 
 import asyncio
 import unittest
@@ -20,38 +20,38 @@
 ENGINE = UpstreamState(ListedUpstream("e0", "engines", "10.0.0.1", 80, "north", 8, False))
 PLAN = Plan(ENGINE, (), EngineChoice("e0", (), 0.02, 0, 0.1, 0.0, 2), 9)
 POLICY = RelayPolicy()
-ENDLESS = StallTimeouts(None, None)
+NO_TIMEOUTS = StallTimeouts(None, None)
 
 
-class PatienceTest(unittest.TestCase):
-    def test_a_silent_stream_is_left_while_another_upstream_may_take_it(self) -> None:
-        found = stall_timeouts_for(make_call(5000), PLAN, POLICY, True)
+class StallTimeoutsTest(unittest.TestCase):
+    def test_a_stream_that_can_be_retried_has_timeouts(self) -> None:
+        timeouts = stall_timeouts_for(make_call(5000), PLAN, POLICY, True)
         assert (
-            found.first_event_seconds is not None
-            and found.gap_seconds is not None
-            and found.query_seconds is not None
+            timeouts.first_event_seconds is not None
+            and timeouts.gap_seconds is not None
+            and timeouts.query_seconds is not None
         )
-        self.assertLess(found.query_seconds, found.first_event_seconds)
-        self.assertLess(found.gap_seconds, make_call(5000).patience)
+        self.assertLess(timeouts.query_seconds, timeouts.first_event_seconds)
+        self.assertLess(timeouts.gap_seconds, make_call(5000).patience)
 
-    def test_silence_does_not_end_the_last_attempt(self) -> None:
-        self.assertEqual(stall_timeouts_for(make_call(5000), PLAN, POLICY, False), ENDLESS)
+    def test_the_last_attempt_has_no_timeouts(self) -> None:
+        self.assertEqual(stall_timeouts_for(make_call(5000), PLAN, POLICY, False), NO_TIMEOUTS)
 
-    def test_what_may_not_be_repeated_is_never_left(self) -> None:
+    def test_a_request_that_must_not_be_repeated_has_no_timeouts(self) -> None:
         call = make_call(5000)
         call = replace(call, route=replace(call.route, resumable=False))
-        self.assertEqual(stall_timeouts_for(call, PLAN, POLICY, True), ENDLESS)
+        self.assertEqual(stall_timeouts_for(call, PLAN, POLICY, True), NO_TIMEOUTS)
 
-    def test_without_second_tries_every_attempt_is_the_last(self) -> None:
+    def test_no_timeouts_with_retries_disabled(self) -> None:
         policy = RelayPolicy(without=frozenset({Mechanism.SECOND_TRIES}))
-        self.assertEqual(stall_timeouts_for(make_call(5000), PLAN, policy, True), ENDLESS)
+        self.assertEqual(stall_timeouts_for(make_call(5000), PLAN, policy, True), NO_TIMEOUTS)
 
 
-class ScriptedWatcher:
-    """A watcher of a busy upstream that answers its report."""
+class ScriptedObserver:
+    """An observer of a busy upstream that answers status queries."""
 
-    def __init__(self, may_go_elsewhere: bool) -> None:
-        self._may_go_elsewhere = may_go_elsewhere
+    def __init__(self, can_retry: bool) -> None:
+        self._may_retry = can_retry
 
     def on_head(self, head: AnswerHead) -> None: ...
 
@@ -72,12 +72,12 @@
         return ""
 
     def may_retry(self) -> bool:
-        return self._may_go_elsewhere
+        return self._may_retry
 
 
-class SilenceTest(unittest.TestCase):
-    def wait(self, may_go_elsewhere: bool, patience: StallTimeouts) -> tuple[bool | None, float]:
-        """Wait for a stream whose last event comes after a pause of three seconds."""
+class WaitForEndTest(unittest.TestCase):
+    def wait(self, can_retry: bool, timeouts: StallTimeouts) -> tuple[bool | None, float]:
+        """Wait for a stream that ends after three seconds of silence."""
 
         async def work() -> tuple[bool | None, float]:
             loop = asyncio.get_running_loop()
@@ -85,30 +85,30 @@
             dialect: Any = None
             call = make_call(5000)
             progress = Progress(events=3)
-            watcher = ScriptedWatcher(may_go_elsewhere)
-            sink = EventSink(call, progress, loop.time, lambda: None, watcher)
+            observer = ScriptedObserver(can_retry)
+            sink = EventSink(call, progress, loop.time, lambda: None, observer)
             loop.call_later(3.0, sink.on_end, True)
-            began = loop.time()
+            started_at = loop.time()
             attempts = AttemptRunner(http, dialect, loop.time)
-            whole = await attempts.wait_for_end(call, sink, progress, patience, watcher)
-            return whole, loop.time() - began
+            is_complete = await attempts.wait_for_end(call, sink, progress, timeouts, observer)
+            return is_complete, loop.time() - started_at
 
-        found: tuple[bool | None, float] = run_virtual(work())
-        return found
+        result: tuple[bool | None, float] = run_virtual(work())
+        return result
 
-    def test_a_silent_stream_is_left_when_another_upstream_may_take_it(self) -> None:
-        whole, seconds = self.wait(True, StallTimeouts(1.0, 1.0, 0.5))
-        self.assertIsNone(whole)
+    def test_a_silent_stream_is_abandoned_if_it_can_be_retried(self) -> None:
+        is_complete, seconds = self.wait(True, StallTimeouts(1.0, 1.0, 0.5))
+        self.assertIsNone(is_complete)
         self.assertAlmostEqual(seconds, 1.0, 3)
 
-    def test_it_is_waited_for_when_none_may_take_it_any_more(self) -> None:
-        whole, seconds = self.wait(False, StallTimeouts(1.0, 1.0, 0.5))
-        self.assertIs(whole, True)
+    def test_a_silent_stream_is_awaited_if_it_cannot_be_retried(self) -> None:
+        is_complete, seconds = self.wait(False, StallTimeouts(1.0, 1.0, 0.5))
+        self.assertIs(is_complete, True)
         self.assertAlmostEqual(seconds, 3.0, 3)
 
 
-class RetryShareTest(unittest.TestCase):
-    def test_looking_spends_nothing(self) -> None:
+class RetryBudgetTest(unittest.TestCase):
+    def test_checking_the_budget_does_not_spend_it(self) -> None:
         window = RetryWindow(RetryBounds(0.0, 2.0 * MIN_INSTANCES, 10.0))
         for _ in range(9):
             self.assertTrue(window.has_budget(5.0, 1))
