--- a/pondpin/tests/test_relay_engines.py
+++ b/pondpin/tests/test_relay_engines.py
@@ -1,4 +1,4 @@
-"""The forecast of engines, the choice of engines and the table of upstreams."""
+"""Tests of engine forecasts, engine selection and the upstream table."""
 
 import random
 import unittest
@@ -43,7 +43,7 @@
     hop=0.0001,
 )
 IDLE = EngineLoad(0, 0.0, (), 0, ())
-CHATS = EngineLoad(4, 0.0, (), 24_000, (DecodeStreams(0.2, 4, 5.2),))
+CHAT_STREAMS = EngineLoad(4, 0.0, (), 24_000, (DecodeStreams(0.2, 4, 5.2),))
 SHORT = Job(5000, 1500, 0.3, 0.2, 2.0)
 LONG = Job(210_000, 800, 3.0, 0.8, 12.0)
 HUGE = Job(900_000, 800, 3.0, 0.8, 12.0)
@@ -54,32 +54,32 @@
 
 
 class ForecastTest(unittest.TestCase):
-    def test_reading_times_of_the_published_figures(self) -> None:
+    def test_prefill_durations_match_the_published_figures(self) -> None:
         for tokens, seconds in ((5000, 0.021), (45_000, 0.27), (210_000, 2.84), (10**6, 49.8)):
             self.assertAlmostEqual(prefill_duration(PROFILE, tokens), seconds, delta=seconds * 0.02)
 
-    def test_a_pass_with_writers_takes_its_steps(self) -> None:
+    def test_a_pass_with_decode_streams_takes_its_steps(self) -> None:
         self.assertEqual(pass_seconds(PROFILE, IDLE), 0.0)
-        self.assertAlmostEqual(pass_seconds(PROFILE, CHATS), 0.0472, delta=0.001)
+        self.assertAlmostEqual(pass_seconds(PROFILE, CHAT_STREAMS), 0.0472, delta=0.001)
 
-    def test_a_long_part_disturbs_short_writers_only(self) -> None:
-        patient = replace(CHATS, decode_streams=(DecodeStreams(0.8, 4, 80.0),))
+    def test_a_long_part_costs_streams_with_strict_gap_targets_only(self) -> None:
+        patient = replace(CHAT_STREAMS, decode_streams=(DecodeStreams(0.8, 4, 80.0),))
         self.assertEqual(decode_loss(PROFILE, IDLE, 1.0), 0.0)
-        self.assertAlmostEqual(decode_loss(PROFILE, CHATS, 0.5), 5.2)
+        self.assertAlmostEqual(decode_loss(PROFILE, CHAT_STREAMS, 0.5), 5.2)
         self.assertEqual(decode_loss(PROFILE, patient, 0.3), 0.0)
 
-    def test_a_part_delays_what_is_being_read(self) -> None:
+    def test_a_part_delays_pending_prefills(self) -> None:
         waiting = replace(
             IDLE, prefill_seconds=1.0, pending=(PendingPrefill(1.0, 3.0, 20.0, 1, 2),)
         )
         self.assertGreater(total_delay_loss([waiting], 2.5), 10.0)
         self.assertLess(total_delay_loss([waiting], 0.1), 1.0)
         self.assertEqual(total_delay_loss([IDLE], 2.5), 0.0)
-        # Two parts of one prompt wait together.
+        # Two parts of one prompt count once.
         once = total_delay_loss([waiting], 2.5)
         self.assertEqual(total_delay_loss([waiting, waiting], 2.5), once)
 
-    def test_the_lead_waits_for_its_queue_and_helpers_do_not(self) -> None:
+    def test_only_the_lead_waits_for_its_pending_prefills(self) -> None:
         busy = replace(IDLE, prefill_seconds=1.0)
         as_helper = first_event_seconds(PROFILE, IDLE, [busy], 0.5, 1000)
         as_lead = first_event_seconds(PROFILE, busy, [IDLE], 0.5, 1000)
@@ -90,8 +90,8 @@
     def setUp(self) -> None:
         self.rng = random.Random(3)
 
-    def test_a_long_prompt_is_read_in_parts_beside_nobody(self) -> None:
-        loads = [CHATS] * 4 + [IDLE] * 8
+    def test_a_long_prompt_is_split_over_idle_engines(self) -> None:
+        loads = [CHAT_STREAMS] * 4 + [IDLE] * 8
         choice = choose_engines(PROFILE, LONG, views(*loads), 16, self.rng)
         assert choice is not None
         used = {choice.lead, *choice.helpers}
@@ -99,7 +99,7 @@
         self.assertFalse(used & {"e0", "e1", "e2", "e3"})
         self.assertLess(choice.first_event_seconds, LONG.target)
 
-    def test_without_parts_one_engine_reads_all(self) -> None:
+    def test_without_parts_one_engine_prefills_all(self) -> None:
         rules = ChoiceOptions(max_parts=1)
         choice = choose_engines(PROFILE, LONG, views(*[IDLE] * 8), 0, self.rng, rules)
         assert choice is not None
@@ -123,18 +123,18 @@
         self.assertGreaterEqual(leased, HUGE.prompt_tokens)
         self.assertLessEqual(choice.lease_tokens, PROFILE.memory)
 
-    def test_a_prompt_that_is_late_anyway_is_still_read_before_its_caller_gives_up(self) -> None:
-        busy = replace(CHATS, decode_streams=(DecodeStreams(0.2, 6, 7.8),), in_flight=6)
+    def test_a_late_prompt_still_meets_the_caller_timeout(self) -> None:
+        busy = replace(CHAT_STREAMS, decode_streams=(DecodeStreams(0.2, 6, 7.8),), in_flight=6)
         choice = choose_engines(PROFILE, HUGE, views(*[busy] * 18), 100, self.rng)
         assert choice is not None
         self.assertLess(choice.first_event_seconds, HUGE.caller_timeout * 0.8)
 
-    def test_no_memory_anywhere_is_told(self) -> None:
+    def test_no_choice_without_memory(self) -> None:
         full = replace(IDLE, tokens=440_000)
         self.assertIsNone(choose_engines(PROFILE, LONG, views(full, full), 0, self.rng))
         self.assertIsNone(choose_engines(PROFILE, LONG, [], 0, self.rng))
 
-    def test_short_requests_stay_in_their_pool(self) -> None:
+    def test_light_requests_stay_in_the_pool(self) -> None:
         loads = [IDLE] * 12
         chosen = set()
         for _ in range(60):
@@ -143,9 +143,9 @@
             chosen.add(choice.lead)
         self.assertEqual(chosen, {f"e{i}" for i in range(light_pool_size(PROFILE, 6, 12))})
 
-    def test_a_crowded_pool_overflows(self) -> None:
-        crowded = replace(CHATS, in_flight=8)
-        loads = [crowded] * 3 + [IDLE] * 3
+    def test_a_full_pool_overflows(self) -> None:
+        full = replace(CHAT_STREAMS, in_flight=8)
+        loads = [full] * 3 + [IDLE] * 3
         choice = choose_engines(PROFILE, SHORT, views(*loads), 8, self.rng)
         assert choice is not None
         self.assertIn(choice.lead, ("e3", "e4", "e5"))
@@ -158,7 +158,7 @@
         self.assertFalse(is_light(PROFILE, 45_000, 0.5))
 
     @given(st.integers(1, 18), st.integers(25_000, 1_000_000), st.integers(0, 400_000))
-    def test_any_choice_has_the_memory(self, count: int, tokens: int, used: int) -> None:
+    def test_every_choice_has_the_memory(self, count: int, tokens: int, used: int) -> None:
         job = Job(tokens, 800, 3.0, 0.8, 12.0)
         load = replace(IDLE, tokens=used)
         choice = choose_engines(PROFILE, job, views(*[load] * count), 0, random.Random(1))
@@ -170,12 +170,12 @@
         self.assertLessEqual(used + own, PROFILE.memory)
 
 
-def listed(name: str, center: str = "north", leaving: bool = False) -> ListedUpstream:
-    return ListedUpstream(name, "engines", "10.0.0.1", 80, center, 8, leaving)
+def listed(name: str, data_center: str = "north", leaving: bool = False) -> ListedUpstream:
+    return ListedUpstream(name, "engines", "10.0.0.1", 80, data_center, 8, leaving)
 
 
-def stream_work(since: float, reading: float = 0.0, first: bool = False) -> Work:
-    work = Work(reading, since, 5000, 0.3, 0.2, 1.3, True, True)
+def stream_work(since: float, prefill_seconds: float = 0.0, first: bool = False) -> Work:
+    work = Work(prefill_seconds, since, 5000, 0.3, 0.2, 1.3, True, True)
     work.has_first_event = first
     return work
 
@@ -185,103 +185,103 @@
         self.table = UpstreamTable("north")
         self.table.apply_list([listed("a"), listed("b"), listed("c", "south")], [])
 
-    def usable(self, now: float = NOW) -> set[str]:
+    def usable_ids(self, now: float = NOW) -> set[str]:
         return {item.id for item in self.table.candidates("engines", now, frozenset())}
 
-    def newest_names(self, most: int) -> list[str]:
-        return [self.table.label_of(life) for life in self.table.newest_leaving(most)]
+    def newest_leaving_ids(self, max_count: int) -> list[str]:
+        return [self.table.label_of(life) for life in self.table.newest_leaving(max_count)]
 
-    def note_failure(self, name: str, now: float, certain: bool = False) -> bool:
+    def record_failure_of(self, name: str, now: float, certain: bool = False) -> bool:
         return self.table.record_failure(self.table.by_id[name], now, certain)
 
-    def test_leaving_is_sticky_whatever_the_list_says_later(self) -> None:
+    def test_leaving_is_not_undone_by_a_later_list(self) -> None:
         self.assertTrue(self.table.mark_leaving(life_of("a", None)))
         self.assertFalse(self.table.mark_leaving(life_of("a", None)))
         self.table.apply_list([listed("a"), listed("b"), listed("c", "south")], [])
-        self.assertEqual(self.usable(), {"b", "c"})
+        self.assertEqual(self.usable_ids(), {"b", "c"})
         self.table.apply_list([], ["a"])
         self.table.apply_list([listed("a")], [])
-        self.assertNotIn("a", self.usable())
+        self.assertNotIn("a", self.usable_ids())
 
-    def test_the_newest_leavings_are_told_first(self) -> None:
+    def test_the_newest_leaving_lives_come_first(self) -> None:
         names = [f"e{number:02}" for number in range(40)]
         self.table.apply_list([listed(name) for name in names], [])
         for name in reversed(names):
             self.table.mark_leaving(life_of(name, None))
-        self.assertEqual(self.newest_names(3), ["e00", "e01", "e02"])
+        self.assertEqual(self.newest_leaving_ids(3), ["e00", "e01", "e02"])
         self.table.apply_list([], ["e01"])
-        self.assertEqual(self.newest_names(3), ["e00", "e02", "e03"])
+        self.assertEqual(self.newest_leaving_ids(3), ["e00", "e02", "e03"])
         self.assertEqual(len(self.table.newest_leaving(100)), 39)
 
-    def test_those_that_the_list_does_not_tell_are_told_first_and_all_by_turns(self) -> None:
+    def test_leaving_lives_not_in_the_list_come_first_and_all_rotate(self) -> None:
         names = [f"e{number:02}" for number in range(40)]
         self.table.apply_list([listed(name) for name in names], [])
         for name in names:
             self.table.mark_leaving(life_of(name, None))
         draining = [replace(listed(name), leaving=name > "e09") for name in names]
         self.table.apply_list(draining, [])
-        self.assertEqual(set(self.newest_names(10)), set(names[:10]))
-        told: set[int] = set()
+        self.assertEqual(set(self.newest_leaving_ids(10)), set(names[:10]))
+        reported: set[int] = set()
         for turn in range(5):
             part = self.table.rotated_leaving(16, NOW + turn)
             self.assertEqual(len(part), 16)
-            told |= set(part)
-        self.assertEqual(len(told), 40)
+            reported |= set(part)
+        self.assertEqual(len(reported), 40)
 
-    def test_leaving_ones_are_never_a_way_out(self) -> None:
+    def test_leaving_upstreams_are_never_a_last_resort(self) -> None:
         for name in "abc":
             self.table.mark_leaving(life_of(name, None))
-        self.assertEqual(self.usable(), set())
+        self.assertEqual(self.usable_ids(), set())
 
-    def test_a_lapsed_entry_may_return(self) -> None:
+    def test_a_removed_upstream_may_return(self) -> None:
         self.table.apply_list([listed("b")], ["a", "c"])
-        self.assertEqual(self.usable(), {"b"})
+        self.assertEqual(self.usable_ids(), {"b"})
         self.table.apply_list([listed("a"), listed("b")], [])
-        self.assertEqual(self.usable(), {"a", "b"})
+        self.assertEqual(self.usable_ids(), {"a", "b"})
 
-    def test_an_ejected_upstream_waits_for_its_probe(self) -> None:
-        self.assertTrue(self.note_failure("a", NOW, certain=True))
-        self.assertEqual(self.usable(), {"b", "c"})
-        self.assertEqual(self.usable(NOW + 60), {"b", "c"})
+    def test_an_ejected_upstream_returns_after_a_probe(self) -> None:
+        self.assertTrue(self.record_failure_of("a", NOW, certain=True))
+        self.assertEqual(self.usable_ids(), {"b", "c"})
+        self.assertEqual(self.usable_ids(NOW + 60), {"b", "c"})
         self.table.by_id["a"].record_probe_passed()
-        self.assertEqual(self.usable(NOW + 60), {"a", "b", "c"})
+        self.assertEqual(self.usable_ids(NOW + 60), {"a", "b", "c"})
 
-    def test_one_that_fails_half_is_avoided_for_a_while(self) -> None:
+    def test_an_upstream_with_half_of_its_requests_failing_is_avoided_for_a_while(self) -> None:
         for step in range(20):
-            self.note_failure("a", NOW + step * 0.1)
+            self.record_failure_of("a", NOW + step * 0.1)
             self.table.by_id["a"].record_success(NOW + step * 0.1 + 0.05)
         after = NOW + 2.0
         self.assertGreater(self.table.by_id["a"].failure_rate.current(after), 0.4)
-        self.assertEqual(self.usable(after), {"b", "c"})
-        self.assertEqual(self.usable(after + 10), {"a", "b", "c"})
+        self.assertEqual(self.usable_ids(after), {"b", "c"})
+        self.assertEqual(self.usable_ids(after + 10), {"a", "b", "c"})
 
-    def test_one_that_fails_seldom_is_kept(self) -> None:
+    def test_an_upstream_with_rare_failures_stays_usable(self) -> None:
         for step in range(70):
             if step % 7:
                 self.table.by_id["a"].record_success(NOW + step * 0.1)
             else:
-                self.note_failure("a", NOW + step * 0.1)
-        self.assertIn("a", self.usable(NOW + 7.0))
+                self.record_failure_of("a", NOW + step * 0.1)
+        self.assertIn("a", self.usable_ids(NOW + 7.0))
 
-    def test_when_all_look_bad_looks_are_ignored(self) -> None:
+    def test_health_is_ignored_when_all_upstreams_look_unhealthy(self) -> None:
         for name in "abc":
-            self.note_failure(name, NOW, certain=True)
-        self.assertEqual(self.usable(), {"a", "b", "c"})
+            self.record_failure_of(name, NOW, certain=True)
+        self.assertEqual(self.usable_ids(), {"a", "b", "c"})
 
-    def test_a_silent_data_center_is_avoided_until_one_is_heard(self) -> None:
+    def test_a_silent_data_center_is_avoided_until_an_upstream_of_it_is_seen(self) -> None:
         self.table.silent_data_centers = frozenset(("south",))
-        self.assertEqual(self.usable(), {"a", "b"})
+        self.assertEqual(self.usable_ids(), {"a", "b"})
         self.table.by_id["c"].last_seen_at = NOW - 0.1
-        self.assertEqual(self.usable(), {"a", "b", "c"})
+        self.assertEqual(self.usable_ids(), {"a", "b", "c"})
 
-    def test_peers_work_counts_until_it_is_old(self) -> None:
+    def test_work_of_peers_expires(self) -> None:
         other = UpstreamTable("south")
         other.apply_list([listed("a")], [])
-        other.by_id["a"].work_by_key[1] = stream_work(NOW - 0.5, reading=2.0)
+        other.by_id["a"].work_by_key[1] = stream_work(NOW - 0.5, prefill_seconds=2.0)
         other.by_id["a"].work_by_key[2] = stream_work(NOW - 0.5, first=True)
-        told = other.by_id["a"].digest(NOW)
-        assert told is not None
-        self.table.update_peer_work("peer", [told], NOW, NOW + PEER_LOAD_SECONDS)
+        reported = other.by_id["a"].digest(NOW)
+        assert reported is not None
+        self.table.update_peer_work("peer", [reported], NOW, NOW + PEER_LOAD_SECONDS)
         state = self.table.by_id["a"]
         self.assertEqual(state.in_flight(NOW), 2)
         self.assertEqual(state.light_in_flight(NOW), 2)
@@ -293,12 +293,12 @@
         self.table.update_peer_work("peer", [], NOW, NOW + PEER_LOAD_SECONDS)
         self.assertEqual(state.in_flight(NOW), 0)
 
-    def test_reading_is_a_queue(self) -> None:
-        reads = [Prefill(NOW, 1.0, 3.0, 1.0, 1, 1), Prefill(NOW + 0.1, 1.0, 3.0, 1.0, 2, 1)]
-        self.assertAlmostEqual(prefills_end(reads), NOW + 2.0)
+    def test_prefills_run_one_after_another(self) -> None:
+        prefills = [Prefill(NOW, 1.0, 3.0, 1.0, 1, 1), Prefill(NOW + 0.1, 1.0, 3.0, 1.0, 2, 1)]
+        self.assertAlmostEqual(prefills_end(prefills), NOW + 2.0)
         state = self.table.by_id["a"]
-        state.work_by_key[1] = stream_work(NOW, reading=1.0)
-        state.work_by_key[2] = stream_work(NOW, reading=1.0)
+        state.work_by_key[1] = stream_work(NOW, prefill_seconds=1.0)
+        state.work_by_key[2] = stream_work(NOW, prefill_seconds=1.0)
         state.record_prefill_end(1, NOW + 1.2)
         self.assertAlmostEqual(state.load(NOW + 1.2).prefill_seconds, 1.0)
 
--- a/pondpin/tests/test_relay_rules.py
+++ b/pondpin/tests/test_relay_rules.py
@@ -1,4 +1,4 @@
-"""The relay's small deciding functions: routes, admission, proofs, retries, events."""
+"""Tests of routing, admission, freshness proofs, retry budgets and event splitting."""
 
 import unittest
 
@@ -82,7 +82,7 @@
         self.assertIsNone(find_route(configuration, "a.example", "/ab"))
         self.assertIsNone(find_route(configuration, "b.example", "/a/b/c"))
 
-    def test_the_strictest_pause_target_of_a_service_counts(self) -> None:
+    def test_the_strictest_gap_target_of_a_service_counts(self) -> None:
         configuration = make_configuration(
             make_route("/a/", gap_target=0.6),
             make_route("/b/", gap_target=0.2, shares=(ServiceShare("two", 1),)),
@@ -103,16 +103,18 @@
     def setUp(self) -> None:
         self.configuration = make_configuration(make_route("/a/"))
 
-    def admit(self, age: float, bound: float | None = 4.6, **changes: object) -> object:
-        beliefs = AdmissionState(self.configuration, Proof(PublishedVersion(1), NOW - age), bound)
-        return admit(beliefs, facts(**changes), "/a/x", NOW)
+    def admit(self, age: float, max_proof_age: float | None = 4.6, **changes: object) -> object:
+        state = AdmissionState(
+            self.configuration, Proof(PublishedVersion(1), NOW - age), max_proof_age
+        )
+        return admit(state, facts(**changes), "/a/x", NOW)
 
     def code(self, age: float, **changes: object) -> Code:
         with self.assertRaises(PondpinError) as caught:
             self.admit(age, 4.6, **changes)
         return caught.exception.code
 
-    def test_the_shorter_of_both_time_limits_counts(self) -> None:
+    def test_the_shorter_of_both_timeouts_counts(self) -> None:
         admitted = self.admit(0.1)
         self.assertEqual(getattr(admitted, "timeout", None), 2.0)
         self.assertEqual(getattr(self.admit(0.1, deadline=0.5), "timeout", None), 0.5)
@@ -122,18 +124,18 @@
         self.assertEqual(getattr(admitted, "rank", None), 1)
         self.assertEqual(getattr(admitted, "account", None), "riders")
 
-    def test_a_key_needs_a_young_proof(self) -> None:
+    def test_a_key_needs_a_recent_proof(self) -> None:
         self.assertEqual(self.code(4.6), Code.NOT_PROVED)
         self.assertEqual(self.code(100.0), Code.NOT_PROVED)
 
-    def test_where_keys_need_no_proof_an_old_configuration_serves_them(self) -> None:
+    def test_without_a_required_proof_an_old_configuration_admits_known_keys(self) -> None:
         admitted = self.admit(100.0, None)
         self.assertEqual(getattr(admitted, "account", None), "riders")
         with self.assertRaises(PondpinError) as caught:
             self.admit(100.0, None, key="other")
         self.assertEqual(caught.exception.code, Code.NOT_PROVED)
 
-    def test_callers_come_back_when_a_proof_is_likely(self) -> None:
+    def test_retry_after_is_spread_and_longer_with_live_peers(self) -> None:
         proof = Proof(PublishedVersion(1), NOW - 9.0)
         alone = AdmissionState(self.configuration, proof, 4.6)
         together = AdmissionState(self.configuration, proof, 4.6, has_live_peers=True)
@@ -146,7 +148,7 @@
             admit(together, facts(), "/a/x", NOW)
         self.assertIn(caught.exception.retry_after, {together.retry_seconds("1")})
 
-    def test_who_is_long_behind_a_newer_configuration_refuses(self) -> None:
+    def test_an_instance_too_far_behind_refuses(self) -> None:
         proof = Proof(PublishedVersion(1), NOW)
         check_not_behind(
             AdmissionState(
@@ -163,15 +165,15 @@
         self.assertEqual((error.code, error.ran), (Code.NOT_PROVED, Ran.NOT_RUN))
         self.assertEqual(error.retry_after, RETRY_SECONDS)
 
-    def test_an_unknown_key_is_final_only_when_the_version_is_sure(self) -> None:
+    def test_an_unknown_key_is_final_only_with_a_recent_proof(self) -> None:
         self.assertEqual(self.code(0.1, key="other"), Code.UNKNOWN_KEY)
         self.assertEqual(self.code(FRESH_PROOF_SECONDS + 0.01, key="other"), Code.NOT_PROVED)
 
-    def test_an_unknown_host_is_final_only_when_the_version_is_sure(self) -> None:
+    def test_an_unknown_host_is_final_only_with_a_recent_proof(self) -> None:
         self.assertEqual(self.code(0.1, host="x"), Code.UNKNOWN_PATH)
         self.assertEqual(self.code(FRESH_PROOF_SECONDS + 0.01, host="x"), Code.NOT_PROVED)
 
-    def test_without_any_configuration_nothing_is_judged(self) -> None:
+    def test_without_a_configuration_requests_get_503(self) -> None:
         with self.assertRaises(PondpinError) as caught:
             admit(AdmissionState(None, None, 4.6), facts(), "/a/x", NOW)
         self.assertEqual(caught.exception.status, 503)
@@ -184,26 +186,26 @@
         self.assertEqual(later_proof(late, early), late)
         self.assertEqual(later_proof(None, early), early)
 
-    def test_a_proof_of_a_newer_version_proves_nothing(self) -> None:
+    def test_a_proof_of_a_newer_version_does_not_confirm_an_older_one(self) -> None:
         older, newer = PublishedVersion(2, 1, 9), PublishedVersion(3, 1, 4)
         self.assertFalse(is_fresh(Proof(newer, NOW), older, NOW, 5.0))
         self.assertTrue(is_fresh(Proof(older, NOW - 4.9), newer, NOW, 5.0))
         self.assertTrue(is_fresh(Proof(newer, NOW - 4.9), newer, NOW, 5.0))
         self.assertFalse(is_fresh(Proof(newer, NOW - 5.0), newer, NOW, 5.0))
 
-    def test_the_operators_version_decides_what_is_newer(self) -> None:
+    def test_the_operator_version_takes_precedence(self) -> None:
         in_force = PublishedVersion(10, 1, 62, 7)
         newer = (
             PublishedVersion(11, 2, 34, 8),
             PublishedVersion(11, 1, 5, 8),
-            # The same version written again with other content, under a later epoch or revision.
+            # The same version with other content, under a later epoch or revision.
             PublishedVersion(10, 2, 34, 8),
             PublishedVersion(10, 1, 63, 8),
         )
         others = (
             PublishedVersion(6, 2, 99, 8),
             PublishedVersion(9, 1, 99, 8),
-            # The same content was read in a later epoch.
+            # The same content, read in a later epoch.
             PublishedVersion(10, 2, 34, 7),
             PublishedVersion(10, 1, 61, 8),
         )
@@ -211,19 +213,19 @@
         self.assertFalse(any(version.is_newer_than(in_force) for version in others))
 
     @given(
-        st.floats(0, 10),  # when the peer read, before it answered
-        st.floats(0, 10),  # the way there
-        st.floats(0, 10),  # the way back, or a freeze before the datagram was read
+        st.floats(0, 10),  # time from the peer's read to its answer
+        st.floats(0, 10),  # latency of the question
+        st.floats(0, 10),  # latency of the answer, or a pause before it was read
     )
-    def test_a_passed_on_proof_never_looks_younger(
-        self, read_before: float, there: float, back: float
+    def test_a_forwarded_proof_never_looks_younger(
+        self, read_before: float, question_latency: float, answer_latency: float
     ) -> None:
         asked = NOW
-        answered = asked + there
+        answered = asked + question_latency
         read_at = answered - read_before
         proof = peer_proof(PublishedVersion(1), asked, read_before)
         self.assertLessEqual(proof.sent_at, read_at + 1e-9)
-        received = answered + back
+        received = answered + answer_latency
         self.assertGreaterEqual(proof.age(received), received - read_at - 1e-9)
 
 
@@ -242,7 +244,7 @@
         self.assertLessEqual(retries, 0.2 * requests + 100)
         self.assertGreater(retries, 0.1 * requests)
 
-    def test_an_instance_alone_does_not_take_the_whole_allowance(self) -> None:
+    def test_a_single_instance_does_not_use_the_whole_allowance(self) -> None:
         window = RetryWindow(RetryBounds(0.0, 100.0, 10.0))
         taken = sum(window.spend(NOW, 1) for _ in range(200))
         self.assertLessEqual(taken, 100 / MIN_INSTANCES)
@@ -256,7 +258,7 @@
 
 
 class EventSplitterTest(unittest.TestCase):
-    def test_half_an_event_is_kept_back(self) -> None:
+    def test_an_incomplete_event_is_buffered(self) -> None:
         splitter = EventSplitter()
         self.assertEqual(splitter.feed(b"id: 1\ndata: a"), [])
         self.assertTrue(splitter.has_partial)
@@ -269,12 +271,12 @@
         found = EventSplitter().feed(b"versions: 3\nid: 9\ndata: x\n\n")
         self.assertEqual(found[0].number, 9)
 
-    def test_an_endless_event_is_refused(self) -> None:
+    def test_an_oversized_event_is_rejected(self) -> None:
         with self.assertRaises(ValueError):
             EventSplitter().feed(b"data: " + b"x" * (2 << 20))
 
     @given(st.lists(st.integers(1, 5), min_size=1, max_size=40), st.sampled_from(["\n", "\r\n"]))
-    def test_any_cutting_gives_the_same_events(self, sizes: list[int], end: str) -> None:
+    def test_events_do_not_depend_on_chunk_sizes(self, sizes: list[int], end: str) -> None:
         text = "".join(f"id: {i}{end}data: {'y' * i}{end}{end}" for i in range(5)).encode()
         splitter = EventSplitter()
         found = []
