--- a/pondpin/tests/test_relay_serving.py
+++ b/pondpin/tests/test_relay_serving.py
@@ -1,4 +1,4 @@
-"""Relaying instances on loopback addresses: requests, answers, at most once, retries."""
+"""Tests of relaying over loopback: requests, answers, at-most-once execution, retries."""
 
 import unittest
 
@@ -15,7 +15,7 @@
 
 
 class PassThroughTest(RelayTest):
-    def test_a_request_reaches_the_worker_as_it_was(self) -> None:
+    def test_a_request_reaches_the_worker_unchanged(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             answer = await ask(platform, "once", x_tenant="thief", priority="0", x_own="kept")
             self.assertEqual(answer.status, 200)
@@ -33,7 +33,7 @@
 
         self.play(work)
 
-    def test_head_and_no_route_and_no_key(self) -> None:
+    def test_a_head_request_an_unknown_path_and_an_unknown_key(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             self.assertEqual((await ask(platform, "again", method="HEAD")).status, 200)
             self.assertEqual((await ask(platform, "nowhere")).status, 404)
@@ -43,7 +43,7 @@
 
         self.play(work)
 
-    def test_a_stream_is_whole_and_in_order(self) -> None:
+    def test_a_stream_is_complete_and_in_order(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             answer = await ask(platform, "stream")
             self.assertEqual(numbers(answer), [1, 2, 3, 4, 5])
@@ -52,7 +52,7 @@
 
 
 class AtMostOnceTest(RelayTest):
-    def test_an_unsafe_request_runs_once_and_is_not_called_unrun(self) -> None:
+    def test_an_unsafe_request_runs_once_and_is_not_reported_as_not_run(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             lost = (
                 WorkerFault.RESET,
@@ -73,7 +73,7 @@
 
         self.play(work)
 
-    def test_an_unsafe_request_of_a_route_with_two_attempts_runs_once(self) -> None:
+    def test_an_unsafe_request_runs_once_on_a_route_with_two_attempts(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             route = sample_route("once", "unsafe", PLAIN, maxAttempts=2)
             platform.publish(2, routes=[route])
@@ -92,7 +92,7 @@
 
         self.play(work)
 
-    def test_a_shed_unsafe_request_is_told_truly_to_come_back(self) -> None:
+    def test_a_shed_unsafe_request_gets_retry_after_and_is_reported_as_not_run(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             for fault in (WorkerFault.SHED, WorkerFault.MISDIRECTED):
                 fail_next(platform, fault)
@@ -104,7 +104,7 @@
 
         self.play(work)
 
-    def test_a_hanging_unsafe_request_ends_at_its_time_as_unknown(self) -> None:
+    def test_a_hanging_unsafe_request_times_out_with_unknown_outcome(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             fail_next(platform, WorkerFault.HANG)
             answer = await ask(platform, "once", x_deadline_ms="300")
@@ -114,7 +114,7 @@
 
         self.play(work)
 
-    def test_what_never_reached_a_worker_goes_elsewhere_without_a_retry(self) -> None:
+    def test_an_unsent_request_is_sent_elsewhere_without_retry_budget(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             window = platform.entries[0].handler._window(PLAIN)
             window.bounds = RetryBounds(0.0, 0.0, 10.0)
@@ -128,7 +128,7 @@
 
         self.play(work)
 
-    def test_an_unreachable_worker_is_no_send(self) -> None:
+    def test_a_connection_failure_does_not_count_as_a_send(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             gone = platform.workers_by_id["plain-0"]
             await gone.server.close()
@@ -141,7 +141,7 @@
 
 
 class AnswersTest(RelayTest):
-    def test_an_unframed_answer_that_closes_is_whole(self) -> None:
+    def test_an_unframed_answer_ends_with_the_connection(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             fail_next(platform, WorkerFault.UNFRAMED)
             answer = await ask(platform, "once")
@@ -150,7 +150,7 @@
 
         self.play(work)
 
-    def test_a_surplus_answer_reaches_nobody(self) -> None:
+    def test_a_surplus_answer_is_discarded(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             fail_next(platform, WorkerFault.SURPLUS)
             for number in range(8):
@@ -160,7 +160,7 @@
 
         self.play(work)
 
-    def test_a_safe_request_is_tried_elsewhere(self) -> None:
+    def test_a_safe_request_is_retried_elsewhere(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             for fault in (WorkerFault.ERROR, WorkerFault.RESET, WorkerFault.SHED):
                 for worker in platform.workers_by_id.values():
@@ -182,10 +182,10 @@
         self.play(work)
 
 
-class RetryShareTest(RelayTest):
+class RetryBudgetTest(RelayTest):
     instances = 3
 
-    def test_a_silent_peer_keeps_its_share_of_the_retries(self) -> None:
+    def test_a_silent_peer_keeps_its_share_of_the_retry_budget(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             first = platform.entries[0]
             await platform.until(lambda: first.handler.instance_count() == 3)
--- a/pondpin/tests/test_relay_streams.py
+++ b/pondpin/tests/test_relay_streams.py
@@ -1,4 +1,4 @@
-"""Streams through a relaying instance: resumed, cancelled, read in parts."""
+"""Tests of relayed streams: resumption, cancellation, prefill in parts."""
 
 import asyncio
 import socket
@@ -25,12 +25,12 @@
 
 
 class StreamTest(RelayTest):
-    def test_a_broken_stream_goes_on_elsewhere_within_one_answer(self) -> None:
+    def test_a_broken_stream_resumes_elsewhere_within_one_answer(self) -> None:
         async def work(platform: LocalPlatform) -> None:
-            # Until then the pool is every engine.
+            # Before that, the light pool includes every engine.
             await platform.until(platform.entries[0].knows_peers)
             for fault in (WorkerFault.CUT, WorkerFault.CUT_EVENT, WorkerFault.RESET):
-                # The pool of a single short stream is one engine: it is chosen again.
+                # The pool for a single short stream is one engine, so it is chosen again.
                 await ask(platform, "stream", f"{fault.name}0")
                 first = next(item for item in engines(platform) if item.seen)
                 first.faults = [fault]
@@ -46,14 +46,14 @@
 
         self.play(work)
 
-    def test_a_caller_resumes_where_it_was(self) -> None:
+    def test_a_caller_resumes_after_its_last_event(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             answer = await ask(platform, "stream", last_event_id="3")
             self.assertEqual(numbers(answer), [4, 5])
 
         self.play(work)
 
-    def test_events_that_the_caller_has_are_not_passed_again(self) -> None:
+    def test_events_that_the_caller_has_are_not_repeated(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             for worker in engines(platform):
                 worker.ignores_resuming = True
@@ -62,19 +62,19 @@
 
         self.play(work)
 
-    def test_a_second_try_that_finds_no_place_is_not_called_unrun(self) -> None:
+    def test_a_failed_retry_does_not_report_the_request_as_not_run(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             fail_next(platform, WorkerFault.RESET)
             first = platform.entries[0]
             spend = first.handler._window("engines").spend
 
-            def take_key_away(now: float, sharers: int) -> bool:
-                # Between both attempts the proof of the key grows too old.
+            def expire_proof(now: float, instance_count: int) -> bool:
+                # The proof that the key is valid expires between the attempts.
                 first.publication.proof = None
-                return spend(now, sharers)
+                return spend(now, instance_count)
 
             first.reader.period = 3600.0
-            with mock.patch.object(RetryWindow, "spend", lambda self, *args: take_key_away(*args)):
+            with mock.patch.object(RetryWindow, "spend", lambda self, *args: expire_proof(*args)):
                 answer = await ask(platform, "stream")
             self.assertEqual(runs(platform), 1)
             self.assertEqual(answer.status, 502)
@@ -82,7 +82,7 @@
 
         self.play(work)
 
-    def test_a_stream_broken_everywhere_does_not_look_whole(self) -> None:
+    def test_a_stream_broken_everywhere_does_not_look_complete(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             fail_next(platform, WorkerFault.CUT, 9)
             with self.assertRaises(CallFailedError):
@@ -90,7 +90,7 @@
 
         self.play(work)
 
-    def test_a_worker_stops_when_the_caller_leaves(self) -> None:
+    def test_a_worker_stops_when_the_caller_disconnects(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             for worker in platform.workers_by_id.values():
                 worker.event_seconds = 0.05
@@ -102,7 +102,7 @@
 
         self.play(work)
 
-    def test_a_caller_that_leaves_before_the_answer_is_not_tried_elsewhere(self) -> None:
+    def test_no_retry_after_the_caller_disconnects(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             fail_next(platform, WorkerFault.HANG)
             task = asyncio.ensure_future(ask(platform, "stream"))
@@ -114,7 +114,7 @@
 
         self.play(work)
 
-    def test_a_request_whose_caller_left_before_it_was_read_goes_nowhere(self) -> None:
+    def test_a_request_is_dropped_if_its_caller_disconnected_before_it_was_read(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             await ask(platform, "again", "before")
             place = platform.callers[0]
@@ -134,7 +134,7 @@
 
         self.play(work)
 
-    def test_what_may_run_once_is_not_sent_again_without_its_caller(self) -> None:
+    def test_an_unsafe_request_is_not_sent_again_after_its_caller_disconnects(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             revision = platform.publish(
                 2, routes=[sample_route("once", "unsafe", PLAIN, maxAttempts=2)]
@@ -144,13 +144,13 @@
             attempts = platform.entries[0].handler.runner
             run = attempts.run
 
-            async def run_and_leave(call: RelayCall, *others: Any) -> AttemptEnd:
+            async def run_and_disconnect(call: RelayCall, *others: Any) -> AttemptEnd:
                 end = await run(call, *others)
                 call.reply.mark_gone()
                 return end
 
             fail_next(platform, WorkerFault.SHED)
-            with mock.patch.object(attempts, "run", run_and_leave):
+            with mock.patch.object(attempts, "run", run_and_disconnect):
                 task = asyncio.ensure_future(ask(platform, "once"))
                 handler = platform.entries[0].handler
                 workers = platform.workers_by_id.values()
@@ -161,7 +161,7 @@
 
         self.play(work)
 
-    def test_a_long_prompt_is_read_in_parts_and_leases_are_returned(self) -> None:
+    def test_a_long_prompt_is_prefilled_in_parts_and_leases_are_released(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             platform.workers_by_id["engine-0"].memory = 450_000
             answer = await ask(platform, "long", x_token_usage="700000,800", x_deadline_ms="20000")
@@ -174,7 +174,7 @@
 
         self.play(work)
 
-    def test_a_prompt_that_no_caller_waits_for_is_refused_at_once(self) -> None:
+    def test_a_prompt_beyond_the_caller_timeout_is_refused_at_once(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             answer = await ask(platform, "long", x_token_usage="700000,800", x_deadline_ms="3000")
             self.assertEqual(answer.status, 503)
@@ -184,7 +184,7 @@
 
         self.play(work)
 
-    def test_an_engine_that_does_not_answer_its_report_is_left_early(self) -> None:
+    def test_an_engine_that_does_not_answer_a_status_query_is_abandoned_early(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             fail_next(platform, WorkerFault.HANG)
             for worker in engines(platform):
@@ -200,7 +200,7 @@
 
         self.play(work)
 
-    def test_without_memory_for_a_group_nothing_stays_leased(self) -> None:
+    def test_no_lease_remains_without_memory_for_a_group(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             for worker in engines(platform):
                 worker.memory = 1000
@@ -215,7 +215,7 @@
 class HelperTest(RelayTest):
     engines = 4
 
-    def test_a_helper_that_is_named_at_fault_is_not_chosen_again(self) -> None:
+    def test_a_helper_reported_at_fault_is_not_chosen_again(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             once = [WorkerFault.HELPER_GONE]
             for worker in engines(platform):
