--- a/pondpin/relay/choosing/dispatch.py
+++ b/pondpin/relay/choosing/dispatch.py
@@ -15,7 +15,6 @@
 from pondpin.relay.upstreams.forecast import prefill_duration
 from pondpin.relay.upstreams.work import LONG_PREFILL_SECONDS
 
-# Engines that are free within this time count as free.
 START_SLACK_SECONDS = 0.02
 # Due times leave a tenth of the target as a margin: forecasts err by about as much.
 DUE_SHARE = 0.9
--- a/pondpin/relay/choosing/engine_choice.py
+++ b/pondpin/relay/choosing/engine_choice.py
@@ -27,7 +27,7 @@
 LIGHT_SHARE = 0.5
 # Slots per engine of the light pool kept free for peers' unreported streams.
 SPARE_SLOTS = 2
-# Headroom of the light pool over the light streams in flight.
+# Headroom of the light pool over light streams in flight.
 POOL_GROWTH = 1.25
 POOL_MARGIN = 4
 # Loss per second of a heavy part on an engine of the light pool, per light stream that such an
@@ -36,8 +36,6 @@
 # Loss of a first event at the target, as a share of the weight: prefers the faster of two choices
 # that both meet the target.
 LATENCY_LOSS = 0.06
-# A prompt is held while its forecast is below this share of its target and its interference above
-# this share of its weight.
 HOLD_TARGET_SHARE = 0.6
 HOLD_LOSS_SHARE = 0.1
 # Loss of a late first event, and further loss when the caller gives up, as shares of the weight.
@@ -53,11 +51,10 @@
 PART_LOSS = 0.03
 # Estimated wait per request above the engine's slots.
 QUEUE_SECONDS = 0.25
-# Engines with more pending prefill than this are avoided as leads.
 MAX_LEAD_PREFILL_SECONDS = 0.05
 # Cost of a full engine over an empty one, which spreads streams over equal engines.
 FULL_ENGINE_SECONDS = 0.05
-# Share of an engine's memory that may be assigned: answers grow while they are decoded.
+# Assignable share of an engine's memory: answers grow while being decoded.
 MEMORY_SHARE = 0.95
 UNIT_WEIGHT_TOKENS = 3500.0
 WEIGHT_EXPONENT = 0.75
@@ -82,7 +79,7 @@
 
     @property
     def effective_gap_target(self) -> float:
-        """The strictest gap target on shared engines, which the prefill must respect."""
+        """The strictest gap target that the prefill must respect."""
         return min(self.gap_target, self.service_gap_target)
 
     @property
@@ -100,8 +97,7 @@
 class ChoiceOptions:
     """Mechanisms that a choice may use; all but the defaults serve measurements.
 
-    wait_for_long_prefills: a long prompt waits for other long prefills on its engines. light_pool:
-    some engines are reserved for light streams. leases: several engines may hold one prompt.
+    light_pool: engines reserved for light streams. leases: several engines may hold one prompt.
     """
 
     max_parts: int = MAX_PARTS
@@ -171,8 +167,8 @@
 def should_hold(choice: EngineChoice, job: Job) -> bool:
     """Whether a long prompt should wait until it interferes less with other requests.
 
-    While it will surely meet its target, waiting is free; later it is sent once its expected gain
-    exceeds the interference.
+    While it will surely meet its target, waiting is free, so that little interference suffices;
+    later it is sent once its expected gain exceeds the interference.
     """
     total = job.waited + choice.first_event_seconds
     if total < HOLD_TARGET_SHARE * job.target:
@@ -192,7 +188,7 @@
 
 
 def light_pool_size(profile: EngineProfile, light_in_flight: int, engines: int) -> int:
-    """How many engines, from the first in the common order, are the light pool."""
+    """How many engines, first in the common order, are the light pool."""
     usable = max(1, profile.slots - SPARE_SLOTS)
     needed = math.ceil((POOL_GROWTH * light_in_flight + POOL_MARGIN) / usable)
     return max(1, min(engines, needed))
@@ -228,11 +224,7 @@
 
 
 def _choose_light(
-    profile: EngineProfile,
-    job: Job,
-    engines: Sequence[Engine],
-    pool: int,
-    rng: random.Random,
+    profile: EngineProfile, job: Job, engines: Sequence[Engine], pool: int, rng: random.Random
 ) -> EngineChoice | None:
     pool_engines = list(engines[:pool])
     pair = rng.sample(pool_engines, min(2, len(pool_engines)))
@@ -279,7 +271,7 @@
         if count <= min(len(engines), options.max_parts)
     ]
     possible = [choice for choice in choices if choice is not None]
-    # Skip choices whose caller will probably give up first.
+    # Prefer choices that the caller will probably wait for.
     limit = PREFERRED_SHARE * job.caller_timeout - job.waited
     preferred = [item for item in possible if item.first_event_seconds < limit]
     return min(preferred or possible, key=lambda choice: choice.loss, default=None)
@@ -302,16 +294,12 @@
         for index, engine in enumerate(engines)
     }
     waits = options.wait_for_long_prefills and part >= LONG_PREFILL_SECONDS
-    loss_rate = job.weight / job.target
+    rate = job.weight / job.target
     ranked = sorted(
         engines,
         key=lambda engine: (
             costs[engine.id]
-            + (
-                loss_rate * engine.load.long_prefill_seconds
-                if waits
-                else _own_delay_loss(engine, part)
-            ),
+            + (rate * engine.load.long_prefill_seconds if waits else _delay_share(engine, part)),
             rng.random(),
         ),
     )
@@ -350,7 +338,7 @@
     )
 
 
-def _own_delay_loss(engine: Engine, part: float) -> float:
+def _delay_share(engine: Engine, part: float) -> float:
     """This engine's share of the loss that a part causes to pending prefills."""
     return sum(delay_loss(item, part) / item.parts for item in engine.load.pending)
 
--- a/pondpin/relay/choosing/jobs.py
+++ b/pondpin/relay/choosing/jobs.py
@@ -9,7 +9,7 @@
 
 
 def interleave_data_centers(states: list[UpstreamState]) -> list[UpstreamState]:
-    """Order engines by their position in their data centre: all first ones, all second ones, ...
+    """Order engines by position in their data centre: all first ones, then all second ones.
 
     The first engines of each data centre are its light pool, which long prompts of all avoid.
     """
--- a/pondpin/relay/choosing/prefill_queue.py
+++ b/pondpin/relay/choosing/prefill_queue.py
@@ -68,7 +68,7 @@
 
 
 class PrefillQueue:
-    """The long prompts queued on this instance and on its peers."""
+    """The long prompts queued here and on peers."""
 
     def __init__(self) -> None:
         self._local_by_key: dict[int, QueuedPrompt] = {}
--- a/pondpin/relay/choosing/retry_window.py
+++ b/pondpin/relay/choosing/retry_window.py
@@ -32,7 +32,7 @@
     retries: deque[float] = field(default_factory=deque)
 
     def record_request(self, now: float) -> None:
-        """Record a caller's request for the service."""
+        """Record a caller's request."""
         self._trim(now)
         self.requests.append(now)
 
