--- a/pondpin/relay/choosing/planner.py
+++ b/pondpin/relay/choosing/planner.py
@@ -157,7 +157,7 @@
         return self._plan_engines(call, progress, profile, states, now)
 
     def _may_use(self, state: UpstreamState, progress: Progress) -> bool:
-        """Whether a limited upstream may be used: with its permit, or first with a spare one."""
+        """Whether a limited upstream may be used: by its permit, or first with a spare permit."""
         if progress.permit is not None:
             return state.life == progress.permit.life
         return not progress.attempts and self._has_spare(state)
--- a/pondpin/tests/test_relay_engines.py
+++ b/pondpin/tests/test_relay_engines.py
@@ -222,8 +222,8 @@
         self.table.apply_list(draining, [])
         self.assertEqual(set(self.newest_leaving_ids(10)), set(names[:10]))
         reported: set[int] = set()
-        for turn in range(5):
-            part = self.table.rotated_leaving(16, NOW + turn)
+        for step in range(5):
+            part = self.table.rotated_leaving(16, NOW + step)
             self.assertEqual(len(part), 16)
             reported |= set(part)
         self.assertEqual(len(reported), 40)
--- a/pondpin/tests/test_relay_prefill_queue.py
+++ b/pondpin/tests/test_relay_prefill_queue.py
@@ -16,8 +16,8 @@
 NOW = 1000.0
 
 
-def prompt(key: int, reading: float, due: float) -> QueuedPrompt:
-    return QueuedPrompt(key, reading, NOW + due)
+def prompt(key: int, prefill_seconds: float, due: float) -> QueuedPrompt:
+    return QueuedPrompt(key, prefill_seconds, NOW + due)
 
 
 def ordered_keys(*waiting: QueuedPrompt, engines: int = 10) -> list[int]:
@@ -39,7 +39,9 @@
 
     @given(st.lists(st.tuples(st.floats(0.1, 30.0), st.floats(-2.0, 6.0)), min_size=1, max_size=12))
     def test_order_does_not_depend_on_arrival(self, given: list[tuple[float, float]]) -> None:
-        waiting = [prompt(key, reading, due) for key, (reading, due) in enumerate(given)]
+        waiting = [
+            prompt(key, prefill_seconds, due) for key, (prefill_seconds, due) in enumerate(given)
+        ]
         ordered = ordered_keys(*waiting)
         self.assertEqual(sorted(ordered), list(range(len(given))))
         random.Random(1).shuffle(waiting)
