--- a/pondpin/relay/choosing/stall_timeouts.py
+++ b/pondpin/relay/choosing/stall_timeouts.py
@@ -41,21 +41,21 @@
     if not call.route.idempotent or not can_retry:
         return StallTimeouts(None, None)
     if call.route.kind is RouteKind.SAFE:
-        first = max(MIN_SAFE_SECONDS, SAFE_FACTOR * call.route.target)
+        first = max(MIN_SAFE_SECONDS, SAFE_FACTOR * call.route.latency_target)
         return StallTimeouts(first, None)
     if not policy.has(Mechanism.SECOND_TRIES):
         return StallTimeouts(None, None)
-    gap = GAP_SHARE * call.patience
+    gap = GAP_SHARE * call.caller_timeout
     forecast = plan.choice.first_event_seconds if plan.choice is not None else 0.0
     query = None
     if policy.has(Mechanism.REPORTS):
         query = QUERY_FACTOR * forecast + QUERY_SLACK_SECONDS
     if plan.helpers:
         # The lead reports lost helpers itself.
-        return StallTimeouts(HELPED_SHARE * call.patience, gap, query)
+        return StallTimeouts(HELPED_SHARE * call.caller_timeout, gap, query)
     first = max(
         MIN_TIMEOUT_SECONDS,
         FORECAST_FACTOR * forecast + FORECAST_SLACK_SECONDS,
-        FIRST_EVENT_SHARE * call.patience,
+        FIRST_EVENT_SHARE * call.caller_timeout,
     )
     return StallTimeouts(first, gap, query)
--- a/pondpin/tests/test_relay_dispatch.py
+++ b/pondpin/tests/test_relay_dispatch.py
@@ -79,14 +79,14 @@
 
     def test_an_event_restarts_the_caller_timeout(self) -> None:
         self.now += 9.8
-        progress = Progress(events=3, last_at=self.now - 0.1)
+        progress = Progress(events=3, last_event_at=self.now - 0.1)
         self.call = replace(self.call, deadline=NOW + 30.0)
         decision = self.dispatcher.decide(self.call, progress, self.plan(FREE), None)
         self.assertIs(decision, DispatchDecision.SEND)
 
     def test_a_started_stream_resumes_at_once(self) -> None:
         # Its caller gives up within seconds, and half an answer is useless.
-        progress = Progress(events=13, last_at=self.now - 1.4)
+        progress = Progress(events=13, last_event_at=self.now - 1.4)
         busy = replace(FREE, start_delay=0.9, interference=80.0, first_event_seconds=9.9)
         decision = self.dispatcher.decide(self.call, progress, self.plan(busy), None)
         self.assertIs(decision, DispatchDecision.SEND)
