--- a/pondpin/relay/peers/limit_enforcement.py
+++ b/pondpin/relay/peers/limit_enforcement.py
@@ -1,4 +1,4 @@
-"""What keeps to the limits that upstreams name: the news of them, and the permits."""
+"""Enforces the limits that upstreams name, by exchanging them and by permits."""
 
 from typing import TYPE_CHECKING
 
@@ -13,7 +13,7 @@
 
 
 class LimitEnforcement:
-    """All of it, on an instance's datagrams and its knowledge of peers."""
+    """Connects limit exchange and permits to the datagrams and peers of an instance."""
 
     def __init__(self, gossip: "Gossip") -> None:
         self._gossip = gossip
@@ -39,31 +39,31 @@
 
     @property
     def bytes_out(self) -> int:
-        """Bytes of datagrams that were sent, headers aside."""
+        """Bytes of sent datagrams, without headers."""
         return self.sync.bytes_out + self.permits.bytes_out
 
     def receive(self, data: bytes, now: float) -> bool:
-        """Take a datagram; False when it is none of these."""
+        """Handle a datagram; False when it is no limit or permit message."""
         return self.permits.receive(data, now) or self.sync.receive(data, now)
 
     def digests(self, now: float) -> tuple[LimitDigest, ...]:
-        """What digests tell."""
+        """The limits for the next digest."""
         table = self._gossip.table
         return limit_digests(table, lives_to_send(table, now), now)
 
     def membership(self, data_center: str) -> Membership:
-        """The instances that may hand out permits of a data centre's upstreams.
+        """The instances that may issue permits of a data centre's upstreams.
 
-        Where none of it was ever heard, all may: nobody there can.
+        If no instance of the data centre is known, every known instance may, as none there can.
         """
         gossip = self._gossip
-        now, known = gossip.clock(), gossip.peer_table.by_host.values()
-        peers = [item for item in known if item.data_center == data_center]
-        is_here = data_center == gossip.table.data_center
-        if not peers and not is_here:
-            peers, is_here = list(known), True
+        now, records = gossip.clock(), gossip.peer_table.by_host.values()
+        peers = [item for item in records if item.data_center == data_center]
+        includes_self = data_center == gossip.table.data_center
+        if not peers and not includes_self:
+            peers, includes_self = list(records), True
         alive = [peer for peer in peers if peer.is_alive(now)]
         hosts_by_name = {peer.instance: peer.host for peer in alive if peer.issues_permits}
-        if is_here and (not gossip.is_stopping or not hosts_by_name):
+        if includes_self and (not gossip.is_stopping or not hosts_by_name):
             hosts_by_name[gossip.instance] = gossip.address.host
-        return Membership(hosts_by_name, len(alive) + is_here, len(peers) + is_here)
+        return Membership(hosts_by_name, len(alive) + includes_self, len(peers) + includes_self)
--- a/pondpin/relay/peers/limit_messages.py
+++ b/pondpin/relay/peers/limit_messages.py
@@ -1,4 +1,4 @@
-"""Limits that upstreams named, as instances tell each other of them."""
+"""Messages with limits that upstreams named, and the selection of limits for digests."""
 
 from collections.abc import Iterable
 
@@ -8,19 +8,19 @@
 from pondpin.relay.peers.digests import LimitDigest
 from pondpin.relay.upstreams.table import UpstreamTable
 
-# The first number of a message; digests, long reads and the quarantine's ends have theirs there.
+# First number of a message, distinct from the formats of digests and of the other messages.
 LIMITS_FORMAT = 1003
-# A limit takes some 25 bytes of a digest; of more than these others are told at each turn, so that
-# an instance that starts hears of 32 in 2 s.
-LIMITS_TOLD = 8
-TURN_SECONDS = 0.5
-# That a limit holds no more is told for so long: it reaches all within a few digests.
-LIFTED_TOLD_SECONDS = 10.0
+# A limit takes about 25 bytes of a digest. With more limits than this, digests rotate through them
+# every ROTATION_SECONDS, so that an instance that starts receives 32 limits in 2 s.
+MAX_DIGEST_LIMITS = 8
+ROTATION_SECONDS = 0.5
+# A lifted limit is sent for this long, which covers the few digests until all instances have it.
+LIFTED_SEND_SECONDS = 10.0
 MILLISECONDS = 1000.0
 
 
 class LimitsMessage(msgspec.Struct, frozen=True, array_like=True):
-    """Limits that their sender has just heard in answers."""
+    """Limits that answers to the sender have just named."""
 
     format: int
     instance: str
@@ -32,58 +32,58 @@
 _ENCODER = msgspec.msgpack.Encoder()
 
 
-def encode_limits(news: LimitsMessage) -> bytes:
-    """A message as a datagram."""
-    return _ENCODER.encode(news)
+def encode_limits(message: LimitsMessage) -> bytes:
+    """Encode a message as a datagram."""
+    return _ENCODER.encode(message)
 
 
 def decode_limits(data: bytes) -> LimitsMessage | None:
-    """A message from a datagram; None for anything else."""
+    """Decode a limits message; None for any other datagram."""
     try:
-        found = _DECODER.decode(data)
+        message = _DECODER.decode(data)
     except msgspec.MsgspecError:
         return None
-    return found if found.format == LIMITS_FORMAT else None
+    return message if message.format == LIMITS_FORMAT else None
 
 
 def limit_digests(
     table: UpstreamTable, lives: Iterable[int], now: float
 ) -> tuple[LimitDigest, ...]:
-    """The words on some lives as they are told."""
-    words = [(life, table.standings.of(life).limit) for life in lives]
+    """The digests of the limits of some lives, without lives that never had one."""
+    limit_words = [(life, table.standings.of(life).limit) for life in lives]
     return tuple(
         LimitDigest(
             life,
-            told_limit(word),
-            round((now - word.asked_at) * MILLISECONDS),
-            round((now - word.heard_at) * MILLISECONDS),
+            told_limit(limit_word),
+            round((now - limit_word.asked_at) * MILLISECONDS),
+            round((now - limit_word.heard_at) * MILLISECONDS),
         )
-        for life, word in words
-        if word is not None
+        for life, limit_word in limit_words
+        if limit_word is not None
     )
 
 
-def to_limit_word(told: LimitDigest, source: str, now: float) -> LimitWord | None:
-    """What was told a moment ago; None for what is no limit."""
-    if not (told.limit >= 0 or told.limit == -1) or told.asked_age < told.heard_age:
+def to_limit_word(digest: LimitDigest, source: str, now: float) -> LimitWord | None:
+    """Convert a digest that was received just now; None for an invalid one."""
+    if not (digest.limit >= 0 or digest.limit == -1) or digest.asked_age < digest.heard_age:
         return None
     return LimitWord(
-        None if told.limit < 0 else told.limit,
-        now - told.asked_age / MILLISECONDS,
-        now - told.heard_age / MILLISECONDS,
+        None if digest.limit < 0 else digest.limit,
+        now - digest.asked_age / MILLISECONDS,
+        now - digest.heard_age / MILLISECONDS,
         source,
     )
 
 
 def lives_to_send(table: UpstreamTable, now: float) -> list[int]:
-    """Listed lives whose limits a digest tells, by turns where there are many."""
+    """Listed lives whose limits go into the next digest; many lives take turns."""
     lives = [
         state.life
         for state in table.by_id.values()
         if state.standing.limit is not None
-        and (state.is_limited or now - state.standing.limit.heard_at < LIFTED_TOLD_SECONDS)
+        and (state.is_limited or now - state.standing.limit.heard_at < LIFTED_SEND_SECONDS)
     ]
-    if len(lives) <= LIMITS_TOLD:
+    if len(lives) <= MAX_DIGEST_LIMITS:
         return lives
-    start = int(now / TURN_SECONDS) * LIMITS_TOLD % len(lives)
-    return (lives + lives)[start : start + LIMITS_TOLD]
+    start = int(now / ROTATION_SECONDS) * MAX_DIGEST_LIMITS % len(lives)
+    return (lives + lives)[start : start + MAX_DIGEST_LIMITS]
--- a/pondpin/relay/peers/limit_sync.py
+++ b/pondpin/relay/peers/limit_sync.py
@@ -1,8 +1,9 @@
-"""What instances tell each other of the limits that upstreams named.
+"""Exchanges the limits that upstreams named among instances.
 
-The first word, each other one and the lifting go to every instance at once, as one datagram: a
-limit binds all together, so an instance that the upstream has not told must not send its first
-request just since it doesn't know. Digests say it again, for those that missed it or start.
+A new limit, a change and the lifting of a limit are broadcast at once, in one datagram to each
+instance. A limit applies to all instances together, so an instance that has no answer with the
+limit yet must not send a request in ignorance of it. Digests repeat limits for instances that
+missed the datagram or started later.
 """
 
 from collections.abc import Callable, Collection, Iterable
@@ -25,7 +26,7 @@
 
 @dataclass
 class LimitSync:
-    """Tells what this instance heard in answers, and takes what others tell."""
+    """Broadcasts limits from answers to this instance, and applies those of peers."""
 
     instance: str
     boot: int
@@ -36,7 +37,7 @@
     bytes_out: int = 0
 
     def broadcast(self, life: int, now: float) -> None:
-        """Tell every instance of a life's limit."""
+        """Send the limit of a life to every instance."""
         limits = limit_digests(self.table, (life,), now)
         data = encode_limits(LimitsMessage(LIMITS_FORMAT, self.instance, self.boot, limits))
         for host in self.hosts():
@@ -44,31 +45,31 @@
             self.write(data, host)
 
     def receive(self, data: bytes, now: float) -> bool:
-        """Take a datagram; False when it is none of these."""
-        news = decode_limits(data)
-        if news is None:
+        """Apply a limits message; False for any other datagram."""
+        message = decode_limits(data)
+        if message is None:
             return False
-        if news.boot != self.boot:
-            self.apply(news.limits, news.instance, now)
+        if message.boot != self.boot:
+            self.apply(message.limits, message.instance, now)
         return True
 
     def apply(self, limits: Iterable[LimitDigest], instance: str, now: float) -> None:
-        """Believe what an instance tells, where its word is the one that counts."""
-        for told in limits:
-            word = to_limit_word(told, f"peer {instance}", now)
-            if word is not None:
-                self._take(told.life, word, now)
+        """Apply limits from an instance where they supersede the known ones."""
+        for digest in limits:
+            limit_word = to_limit_word(digest, f"peer {instance}", now)
+            if limit_word is not None:
+                self._apply(digest.life, limit_word, now)
 
-    def _take(self, life: int, word: LimitWord, now: float) -> None:
+    def _apply(self, life: int, limit_word: LimitWord, now: float) -> None:
         standing = self.table.standings.of(life)
         before = told_limit(standing.limit)
-        if hear_limit(self.table.standings, life, word, now):
+        if hear_limit(self.table.standings, life, limit_word, now):
             self.log.write(
                 UpstreamLimit(
                     upstream=self.table.label_of(life),
                     life=f"{life:x}",
                     limit=told_limit(standing.limit),
                     before=before,
-                    source=word.source,
+                    source=limit_word.source,
                 )
             )
--- a/pondpin/relay/peers/long_prefill_sync.py
+++ b/pondpin/relay/peers/long_prefill_sync.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of the long prompts that they have read at the moment."""
+"""Exchanges the current long prefills among instances of a large fleet."""
 
 from pondpin.relay.peers.digest_fields import LastMessage
 from pondpin.relay.upstreams.long_prefills import (
@@ -11,7 +11,7 @@
 
 
 class LongPrefillSync:
-    """Makes the messages of an instance, and takes those of others in their order."""
+    """Encodes the messages of an instance, and applies those of peers in order."""
 
     def __init__(self, instance: str, boot: int, table: UpstreamTable) -> None:
         self._instance = instance
@@ -20,24 +20,24 @@
         self._last_by_peer: dict[str, LastMessage] = {}
 
     def message(self, sequence: int, now: float) -> bytes:
-        """What this instance has read now, as a datagram."""
-        reads = self._table.own_long_prefills(now)
-        told = LongPrefills(LONG_PREFILLS_FORMAT, self._instance, self._boot, sequence, reads)
-        return encode_long_prefills(told)
+        """Encode the current long prefills of this instance."""
+        prefills = self._table.own_long_prefills(now)
+        message = LongPrefills(LONG_PREFILLS_FORMAT, self._instance, self._boot, sequence, prefills)
+        return encode_long_prefills(message)
 
     def receive(self, data: bytes, now: float) -> bool:
-        """Take a datagram; False when it is none of these."""
-        told = decode_long_prefills(data)
-        if told is None:
+        """Apply a long prefills message; False for any other datagram."""
+        message = decode_long_prefills(data)
+        if message is None:
             return False
-        self.apply(told, now)
+        self.apply(message, now)
         return True
 
-    def apply(self, told: LongPrefills, now: float) -> None:
-        """Believe what an instance says, unless it is this one or has said more since."""
-        last = self._last_by_peer.get(told.instance)
-        is_old = last is not None and told.sequence <= last.last_sequence(told.boot)
-        if told.boot == self._boot or is_old:
+    def apply(self, message: LongPrefills, now: float) -> None:
+        """Apply a message of a peer unless a later one was applied."""
+        last = self._last_by_peer.get(message.instance)
+        is_outdated = last is not None and message.sequence <= last.last_sequence(message.boot)
+        if message.boot == self._boot or is_outdated:
             return
-        self._last_by_peer[told.instance] = LastMessage(told.boot, told.sequence)
-        self._table.update_long_prefills(told.instance, told.prefills, now)
+        self._last_by_peer[message.instance] = LastMessage(message.boot, message.sequence)
+        self._table.update_long_prefills(message.instance, message.prefills, now)
--- a/pondpin/relay/peers/permit_broker.py
+++ b/pondpin/relay/peers/permit_broker.py
@@ -1,6 +1,6 @@
-"""Gets permits of limited upstreams from their homes, and answers those that ask here.
+"""Acquires permits of limited upstreams from their owners, and replies to requests for permits.
 
-A home answers with a datagram, within a few ms; who gets no answer asks the next one.
+An owner replies with a datagram within a few ms; without a reply, the next owner is asked.
 """
 
 import asyncio
@@ -15,75 +15,76 @@
 from pondpin.relay.peers.permit_issuer import PERMIT_VALID_SECONDS, PermitIssuer
 from pondpin.relay.upstreams.state import UpstreamState
 
-# The first number of a message; see LIMITS_FORMAT.
+# First number of a message, see LIMITS_FORMAT.
 PERMITS_FORMAT = 1004
-# A way there and back takes 4 ms between data centres; a busy instance answers some 20 ms later.
+# A round trip between data centres takes 4 ms; a busy instance replies about 20 ms later.
 ANSWER_TIMEOUT_SECONDS = 0.06
-# A request asks so many homes; each that has none says when it will, and is not asked before.
-MOST_ASKED = 4
-# A home that gives no answer is left alone for so long: it may have ended.
-SILENT_SECONDS = 0.5
-# Told for a permit that nobody knows when to have.
-LONGEST_TOLD_SECONDS = 60.0
+# Owners asked for one request. One without a permit replies when it will have the next, and is not
+# asked before that.
+MAX_OWNERS_ASKED = 4
+# An owner that gave no reply is not asked for this long: its process may have ended.
+OWNER_SILENT_SECONDS = 0.5
+# Bound on the announced time until the next permit.
+MAX_RETRY_AFTER_SECONDS = 60.0
 MILLISECONDS = 1000.0
 
 
-class PermitAsk(msgspec.Struct, frozen=True, array_like=True):
-    """A wish for a permit of any limited upstream of a service whose home the receiver is.
+class PermitRequest(msgspec.Struct, frozen=True, array_like=True):
+    """A request for a permit of any limited upstream of a service that the receiver owns.
 
-    tried: lives that won't do; longest: the ms for which the request can wait.
+    tried: excluded lives; max_wait_ms: how long the request can wait.
     """
 
     host: str
-    number: int
+    request_id: int
     service: str
     tried: tuple[int, ...]
-    longest: int
+    max_wait_ms: int
 
 
-class PermitAnswer(msgspec.Struct, frozen=True, array_like=True):
-    """The answer: a permit of a life after so many ms.
+class PermitReply(msgspec.Struct, frozen=True, array_like=True):
+    """A permit of a life that is valid after wait_ms.
 
-    life 0: there is none, and the first comes after so many ms; or wait is 0 too and the sender is
-    not the home of any, but perhaps the instance at host is.
+    life 0: no permit in time, the next one comes after wait_ms. With wait_ms 0 too, the sender owns
+    none of the upstreams; the instance at host may.
     """
 
-    number: int
+    request_id: int
     life: int
-    wait: int
+    wait_ms: int
     host: str = ""
 
 
-class PermitNote(msgspec.Struct, frozen=True, array_like=True):
-    """A permit of a life was not spent, or one was spent that nobody had handed out."""
+class PermitUse(msgspec.Struct, frozen=True, array_like=True):
+    """A request without a permit was sent to a life, or else a permit of it was not used."""
 
     life: int
     spent: bool
 
 
 class PermitMessage(msgspec.Struct, frozen=True, array_like=True):
-    """One of the three."""
+    """Holds one of the three messages."""
 
     format: int
-    ask: PermitAsk | None = None
-    answer: PermitAnswer | None = None
-    note: PermitNote | None = None
+    request: PermitRequest | None = None
+    reply: PermitReply | None = None
+    use: PermitUse | None = None
 
 
-_MESSAGE = msgspec.msgpack.Decoder(PermitMessage)
+_DECODER = msgspec.msgpack.Decoder(PermitMessage)
 _ENCODER = msgspec.msgpack.Encoder()
 
 
 @dataclass(frozen=True, slots=True)
 class NoPermit:
-    """None can be had in time; the first that is known of comes after so many seconds."""
+    """No permit in time; retry_after: seconds until the earliest known one."""
 
     retry_after: float
 
 
 @dataclass
 class PermitBroker:
-    """The permits that requests of this instance use; write sends a datagram to a host."""
+    """Acquires permits for requests of this instance; write sends a datagram to a host."""
 
     issuer: PermitIssuer
     boot: int
@@ -93,168 +94,168 @@
     rng: random.Random
 
     def __post_init__(self) -> None:
-        """Set up what is waited for."""
-        # Answers to an earlier life at this place are none to this one's.
-        self._number = self.boot
-        self._pending: dict[int, asyncio.Future[PermitAnswer]] = {}
-        # When a home has a permit again, by its host and the service.
-        self._free_at: dict[tuple[str, str], float] = {}
+        """Set up pending requests and the state of owners."""
+        # Request ids start at boot, so that replies to an earlier process match no request.
+        self._last_request_id = self.boot
+        self._pending: dict[int, asyncio.Future[PermitReply]] = {}
+        # Time of the next permit of an owner, by its host and the service.
+        self._available_at: dict[tuple[str, str], float] = {}
         self._silent_until: dict[str, float] = {}
         self.bytes_out = 0
-        self.refused = 0
+        self.refused_count = 0
 
     async def acquire(
-        self, service: str, tried: Collection[int], longest: float
+        self, service: str, tried: Collection[int], max_wait: float
     ) -> Permit | NoPermit:
-        """A permit of an upstream of a service that can be spent within longest seconds.
+        """Acquire a permit of an upstream of a service that is valid within max_wait seconds.
 
-        This instance's own first, then those of other homes.
+        Upstreams that this instance owns come first, then those of other owners.
         """
         states = self.issuer.limited_upstreams(service, tried)
-        permit = self.issuer.issue(states, longest)
+        permit = self.issuer.issue(states, max_wait)
         if permit is not None:
             return permit
-        hosts = self._worth_asking(states, service, longest)
+        hosts = self._hosts_to_ask(states, service, max_wait)
         asked: set[str] = set()
-        while hosts and len(asked) < MOST_ASKED:
+        while hosts and len(asked) < MAX_OWNERS_ASKED:
             host = hosts.pop()
             asked.add(host)
-            found = await self._ask(host, service, tried, longest)
-            if isinstance(found, Permit):
-                return found
-            if found and found not in asked:
-                hosts.append(found)
-        self.refused += 1
-        return self._refusal(states, service)
-
-    def _refusal(self, states: Sequence[UpstreamState], service: str) -> NoPermit:
+            result = await self._request(host, service, tried, max_wait)
+            if isinstance(result, Permit):
+                return result
+            if result and result not in asked:
+                hosts.append(result)
+        self.refused_count += 1
+        return self._no_permit(states, service)
+
+    def _no_permit(self, states: Sequence[UpstreamState], service: str) -> NoPermit:
         return NoPermit(self.retry_after(states, service))
 
     def retry_after(self, states: Sequence[UpstreamState], service: str) -> float:
-        """Seconds until the first permit of some upstreams that is known of, or until a home that
-        gave no answer is asked again; 0 where neither is known.
+        """Seconds until the earliest known permit of some upstreams, or until an owner that gave no
+        reply is asked again; 0 where neither is known.
         """
         now = self.clock()
-        moments = [
-            max(self._free_at.get((host, service), now), self._silent_until.get(host, now))
-            for host in self._hosts_of(states)
+        times = [
+            max(self._available_at.get((host, service), now), self._silent_until.get(host, now))
+            for host in self._owner_hosts(states)
         ]
-        back_at = min([*moments, self.issuer.available_at(states)])
-        return min(LONGEST_TOLD_SECONDS, max(0.0, back_at - now))
+        retry_at = min([*times, self.issuer.available_at(states)])
+        return min(MAX_RETRY_AFTER_SECONDS, max(0.0, retry_at - now))
 
     def release(self, permit: Permit) -> None:
-        """A permit was not spent."""
-        self._note(permit.life, permit.host, spent=False)
+        """Return a permit that was not used to its owner."""
+        self._record_use(permit.life, permit.host, spent=False)
 
     def record_spent(self, state: UpstreamState) -> None:
-        """Something went to a limited upstream without a permit: it counts all the same."""
+        """Charge a send without a permit to the limit of its upstream."""
         if state.is_limited:
-            self._note(state.life, self.issuer.owner(state).host, spent=True)
+            self._record_use(state.life, self.issuer.owner(state).host, spent=True)
 
     def receive(self, data: bytes, now: float) -> bool:
-        """Take a datagram; False when it is none of these."""
+        """Handle a permit message; False for any other datagram."""
         try:
-            message = _MESSAGE.decode(data)
+            message = _DECODER.decode(data)
         except msgspec.MsgspecError:
             return False
-        if message.ask is not None:
-            self._answer(message.ask)
-        if message.answer is not None:
-            self._heard(message.answer)
-        if message.note is not None:
-            self._noted(message.note)
+        if message.request is not None:
+            self._handle_request(message.request)
+        if message.reply is not None:
+            self._handle_reply(message.reply)
+        if message.use is not None:
+            self._handle_use(message.use)
         return message.format == PERMITS_FORMAT
 
     def close(self) -> None:
-        """Nobody waits any more."""
-        for answer in self._pending.values():
-            answer.cancel()
+        """Cancel pending requests."""
+        for reply in self._pending.values():
+            reply.cancel()
 
-    def _hosts_of(self, states: Sequence[UpstreamState]) -> list[str]:
-        """The other instances that are homes of some upstreams."""
+    def _owner_hosts(self, states: Sequence[UpstreamState]) -> list[str]:
+        """Hosts of the other instances that own some upstreams."""
         return sorted({self.issuer.owner(state).host for state in states} - {"", self.host})
 
-    def _worth_asking(
-        self, states: Sequence[UpstreamState], service: str, longest: float
+    def _hosts_to_ask(
+        self, states: Sequence[UpstreamState], service: str, max_wait: float
     ) -> list[str]:
-        """Those that may have a permit in time, by chance: none is asked first by all."""
+        """Hosts that may have a permit in time, shuffled so that requests spread over them."""
         now = self.clock()
-        found = [
+        hosts = [
             host
-            for host in self._hosts_of(states)
-            if self._free_at.get((host, service), now) <= now + longest
+            for host in self._owner_hosts(states)
+            if self._available_at.get((host, service), now) <= now + max_wait
             and self._silent_until.get(host, now) <= now
         ]
-        self.rng.shuffle(found)
-        return found
+        self.rng.shuffle(hosts)
+        return hosts
 
-    async def _ask(
-        self, host: str, service: str, tried: Collection[int], longest: float
+    async def _request(
+        self, host: str, service: str, tried: Collection[int], max_wait: float
     ) -> Permit | str:
-        """The permit that a home has; else where another home may be, "" where it knows none."""
-        self._number += 1
-        number = self._number
-        answer: asyncio.Future[PermitAnswer] = asyncio.get_running_loop().create_future()
-        self._pending[number] = answer
-        wait = int(longest * MILLISECONDS)
-        ask = PermitAsk(self.host, number, service, tuple(tried), wait)
-        self._send(PermitMessage(PERMITS_FORMAT, ask=ask), host)
+        """A permit from an owner; else the host of another possible owner, "" for none known."""
+        self._last_request_id += 1
+        request_id = self._last_request_id
+        pending: asyncio.Future[PermitReply] = asyncio.get_running_loop().create_future()
+        self._pending[request_id] = pending
+        max_wait_ms = int(max_wait * MILLISECONDS)
+        request = PermitRequest(self.host, request_id, service, tuple(tried), max_wait_ms)
+        self._send(PermitMessage(PERMITS_FORMAT, request=request), host)
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS):
-                told = await answer
+                reply = await pending
         except TimeoutError:
-            self._silent_until[host] = self.clock() + SILENT_SECONDS
+            self._silent_until[host] = self.clock() + OWNER_SILENT_SECONDS
             return ""
         finally:
-            # An answer that comes later gives its permit back.
-            self._pending.pop(number, None)
+            # The permit of a later reply is returned.
+            self._pending.pop(request_id, None)
         now = self.clock()
-        at = now + told.wait / MILLISECONDS
-        if told.life:
-            return Permit(told.life, at, at + PERMIT_VALID_SECONDS, host)
-        if told.wait:
-            self._free_at[host, service] = at
+        at = now + reply.wait_ms / MILLISECONDS
+        if reply.life:
+            return Permit(reply.life, at, at + PERMIT_VALID_SECONDS, host)
+        if reply.wait_ms:
+            self._available_at[host, service] = at
         else:
-            self._silent_until[host] = now + SILENT_SECONDS
-        return told.host
+            self._silent_until[host] = now + OWNER_SILENT_SECONDS
+        return reply.host
 
-    def _answer(self, ask: PermitAsk) -> None:
-        states = self.issuer.limited_upstreams(ask.service, ask.tried)
-        permit = self.issuer.issue(states, ask.longest / MILLISECONDS)
+    def _handle_request(self, request: PermitRequest) -> None:
+        states = self.issuer.limited_upstreams(request.service, request.tried)
+        permit = self.issuer.issue(states, request.max_wait_ms / MILLISECONDS)
         if permit is None:
-            answer = self._no(ask, states)
+            reply = self._refuse(request, states)
         else:
-            wait = round((permit.at - self.clock()) * MILLISECONDS)
-            answer = PermitAnswer(ask.number, permit.life, wait)
-        self._send(PermitMessage(PERMITS_FORMAT, answer=answer), ask.host)
-
-    def _no(self, ask: PermitAsk, states: Sequence[UpstreamState]) -> PermitAnswer:
-        free_at = self.issuer.available_at(states)
-        if free_at < float("inf"):
-            wait = min(LONGEST_TOLD_SECONDS, free_at - self.clock())
-            # 0 would say that this is no home.
+            wait_ms = round((permit.at - self.clock()) * MILLISECONDS)
+            reply = PermitReply(request.request_id, permit.life, wait_ms)
+        self._send(PermitMessage(PERMITS_FORMAT, reply=reply), request.host)
+
+    def _refuse(self, request: PermitRequest, states: Sequence[UpstreamState]) -> PermitReply:
+        available_at = self.issuer.available_at(states)
+        if available_at < float("inf"):
+            wait = min(MAX_RETRY_AFTER_SECONDS, available_at - self.clock())
+            # 0 would mean that this instance owns none of them.
             wait_ms = max(1, round(wait * MILLISECONDS))
-            return PermitAnswer(ask.number, 0, wait_ms)
-        others = [host for host in self._hosts_of(states) if host != ask.host]
-        return PermitAnswer(ask.number, 0, 0, others[0] if others else "")
-
-    def _heard(self, told: PermitAnswer) -> None:
-        waiting = self._pending.get(told.number)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(told)
-        elif told.life:
-            state = self.issuer.table.by_life(told.life)
+            return PermitReply(request.request_id, 0, wait_ms)
+        others = [host for host in self._owner_hosts(states) if host != request.host]
+        return PermitReply(request.request_id, 0, 0, others[0] if others else "")
+
+    def _handle_reply(self, reply: PermitReply) -> None:
+        pending = self._pending.get(reply.request_id)
+        if pending is not None and not pending.done():
+            pending.set_result(reply)
+        elif reply.life:
+            state = self.issuer.table.by_life(reply.life)
             if state is not None:
-                self._note(told.life, self.issuer.owner(state).host, spent=False)
+                self._record_use(reply.life, self.issuer.owner(state).host, spent=False)
 
-    def _noted(self, note: PermitNote) -> None:
-        self.issuer.record_use(note.life, note.spent)
+    def _handle_use(self, use: PermitUse) -> None:
+        self.issuer.record_use(use.life, use.spent)
 
-    def _note(self, life: int, host: str, spent: bool) -> None:
+    def _record_use(self, life: int, host: str, spent: bool) -> None:
         if host in ("", self.host):
             self.issuer.record_use(life, spent)
         else:
-            self._send(PermitMessage(PERMITS_FORMAT, note=PermitNote(life, spent)), host)
+            self._send(PermitMessage(PERMITS_FORMAT, use=PermitUse(life, spent)), host)
 
     def _send(self, message: PermitMessage, host: str) -> None:
         data = _ENCODER.encode(message)
