--- a/pondpin/tests/test_relay_gossip.py
+++ b/pondpin/tests/test_relay_gossip.py
@@ -1,4 +1,4 @@
-"""What instances tell each other: digests, peers, whom to tell, and fleets of many instances."""
+"""Digests, the table of peers, the fan-out, and simulated fleets of many instances."""
 
 import os
 import random
@@ -60,34 +60,35 @@
     return Digest(**(values | changes))  # type: ignore[arg-type]
 
 
-HEARD = st.tuples(
+DIGESTS = st.tuples(
     st.integers(1, 40), st.integers(1, 2), st.sampled_from((0, 200, 2900)), st.floats(0, 3)
 )
 
 
-class PeerTableKeptTest(unittest.TestCase):
-    @given(st.lists(HEARD, max_size=60))
-    def test_what_is_kept_up_to_date_is_what_a_look_at_all_peers_tells(
-        self, heard: list[tuple[int, int, int, float]]
+class PeerTableIndexTest(unittest.TestCase):
+    @given(st.lists(DIGESTS, max_size=60))
+    def test_index_of_live_peers_matches_a_scan_of_all_peers(
+        self, received_digests: list[tuple[int, int, int, float]]
     ) -> None:
         table = PeerTable(own_boot=99)
         now = NOW
         alive_before: set[str] = set()
-        for number, (boot, life, interval_ms, wait) in enumerate(heard):
+        for number, (boot, process, interval_ms, wait) in enumerate(received_digests):
             now += wait
-            center = f"c{boot % 3}"
+            data_center = f"c{boot % 3}"
             received = make_digest(
-                f"i{boot}-{life}", boot, number, interval_ms=interval_ms, data_center=center
+                f"i{boot}-{process}", boot, number, interval_ms=interval_ms, data_center=data_center
             )
             changes = table.change_count
             table.apply(received, now)
             peers = list(table.by_host.values())
-            found = table.alive(now)
+            alive_peers = table.alive(now)
             self.assertEqual(
-                {peer.host for peer in peers if peer.is_alive(now)}, {peer.host for peer in found}
+                {peer.host for peer in peers if peer.is_alive(now)},
+                {peer.host for peer in alive_peers},
             )
-            self.assertTrue(all(table.by_host[peer.host] is peer for peer in found))
-            alive = {peer.instance for peer in found}
+            self.assertTrue(all(table.by_host[peer.host] is peer for peer in alive_peers))
+            alive = {peer.instance for peer in alive_peers}
             if alive != alive_before:
                 self.assertGreater(table.change_count, changes)
             alive_before = alive
@@ -108,45 +109,45 @@
     def setUp(self) -> None:
         self.table = PeerTable(own_boot=9)
 
-    def test_what_is_no_digest_is_dropped(self) -> None:
+    def test_invalid_datagram_is_not_decoded(self) -> None:
         self.assertIsNone(decode_digest(b"\xff\x00junk"))
-        whole = make_digest("a", 1, 1)
-        self.assertEqual(decode_digest(encode_digest(whole)), whole)
+        sent = make_digest("a", 1, 1)
+        self.assertEqual(decode_digest(encode_digest(sent)), sent)
 
-    def test_an_overtaken_digest_is_dropped(self) -> None:
+    def test_outdated_digest_is_ignored(self) -> None:
         self.assertTrue(self.table.apply(make_digest("a", 1, 5), NOW))
         self.assertFalse(self.table.apply(make_digest("a", 1, 4), NOW))
         self.assertFalse(self.table.apply(make_digest("me", 9, 1), NOW))
 
-    def test_a_new_life_starts_its_sequence_anew(self) -> None:
+    def test_new_boot_restarts_the_sequence(self) -> None:
         self.table.apply(make_digest("a", 1, 5), NOW)
         self.assertTrue(self.table.apply(make_digest("a", 2, 1, host="10.0.0.1"), NOW))
 
-    def test_an_echo_of_another_life_dates_nothing(self) -> None:
+    def test_echo_of_another_boot_has_no_send_time(self) -> None:
         self.assertIsNone(echo_sent_at(make_digest("a", 1, 1, echo=500, echo_boot=8), 9))
         self.assertIsNone(echo_sent_at(make_digest("a", 1, 1), 9))
         self.assertEqual(echo_sent_at(make_digest("a", 1, 1, echo=500, echo_boot=9), 9), 0.5)
 
-    def test_rank_counts_live_peers_that_can_read(self) -> None:
+    def test_rank_counts_live_peers_that_read_the_source(self) -> None:
         self.table.apply(make_digest("a", 1, 1), NOW)
         self.table.apply(make_digest("b", 2, 1, reads_source=False), NOW)
         self.table.apply(make_digest("z", 3, 1), NOW)
         self.assertEqual(self.table.rank("m", "north", NOW), 1)
         self.assertEqual(self.table.rank("m", "north", NOW + ALIVE_SECONDS), 0)
 
-    def test_in_a_large_fleet_neighbours_are_ranked_after_other_centres(self) -> None:
+    def test_large_fleet_ranks_neighbours_after_other_data_centers(self) -> None:
         for number in range(10, SMALL_FLEET_PEERS + 12):
-            center = "north" if number < 13 else "south"
-            self.table.apply(make_digest(f"i{number:02}", number, 1, data_center=center), NOW)
+            data_center = "north" if number < 13 else "south"
+            self.table.apply(make_digest(f"i{number:02}", number, 1, data_center=data_center), NOW)
         self.assertEqual(self.table.rank("i11", "north", NOW), 1)
         self.assertEqual(self.table.rank("i00", "south", NOW), 1)
 
-    def test_a_peer_may_be_silent_for_as_long_as_it_said(self) -> None:
+    def test_peer_is_alive_for_three_of_its_announced_intervals(self) -> None:
         self.table.apply(make_digest("a", 1, 1, interval_ms=2000), NOW)
         self.assertEqual(len(self.table.alive(NOW + 5.9)), 1)
         self.assertEqual(self.table.alive(NOW + 6.1), [])
 
-    def test_a_data_center_is_silent_when_all_its_peers_are(self) -> None:
+    def test_data_center_is_silent_when_all_its_peers_are(self) -> None:
         self.table.apply(make_digest("a", 1, 1), NOW)
         self.table.apply(make_digest("b", 2, 1), NOW + 0.6)
         self.assertEqual(self.table.silent_data_centers(NOW + 0.7), frozenset())
@@ -161,62 +162,62 @@
 
     def fill(self, near: int, far: int, now: float) -> None:
         for number in range(1, near + far + 1):
-            center = "north" if number <= near else f"south{number % 2}"
+            data_center = "north" if number <= near else f"south{number % 2}"
             peer = make_digest(
-                f"i{number}", number, int(now * 10), data_center=center, interval_ms=5000
+                f"i{number}", number, int(now * 10), data_center=data_center, interval_ms=5000
             )
             self.table.apply(peer, now)
 
-    def test_a_small_fleet_tells_everybody(self) -> None:
+    def test_small_fleet_sends_to_all_peers(self) -> None:
         self.fill(4, 5, NOW)
-        turn = self.fan_out.next_round(self.table, NOW, changed=False, urgent=False)
-        self.assertEqual((len(turn.near), len(turn.far)), (9, 0))
+        targets = self.fan_out.next_round(self.table, NOW, changed=False, urgent=False)
+        self.assertEqual((len(targets.near), len(targets.far)), (9, 0))
 
-    def test_a_large_fleet_tells_neighbours_and_one_of_each_other_centre(self) -> None:
+    def test_large_fleet_sends_to_neighbours_and_one_peer_of_each_data_center(self) -> None:
         self.fill(10, 20, NOW)
-        turn = self.fan_out.next_round(self.table, NOW, changed=True, urgent=False)
-        self.assertEqual({peer.data_center for peer in turn.near}, {"north"})
-        self.assertEqual(len(turn.near), 10)
-        self.assertEqual({peer.data_center for peer in turn.far}, {"south0", "south1"})
+        targets = self.fan_out.next_round(self.table, NOW, changed=True, urgent=False)
+        self.assertEqual({peer.data_center for peer in targets.near}, {"north"})
+        self.assertEqual(len(targets.near), 10)
+        self.assertEqual({peer.data_center for peer in targets.far}, {"south0", "south1"})
 
-    def test_without_news_only_the_heartbeat_is_sent(self) -> None:
+    def test_only_heartbeats_are_sent_without_changes(self) -> None:
         self.fill(10, 20, NOW)
         self.fan_out.next_round(self.table, NOW, changed=True, urgent=False)
-        turn = self.fan_out.next_round(self.table, NOW + 0.2, changed=False, urgent=False)
-        self.assertEqual((turn.near, turn.far), ((), ()))
+        targets = self.fan_out.next_round(self.table, NOW + 0.2, changed=False, urgent=False)
+        self.assertEqual((targets.near, targets.far), ((), ()))
         later = NOW + HEARTBEAT_SECONDS
-        turn = self.fan_out.next_round(self.table, later, changed=False, urgent=False)
-        self.assertEqual(len(turn.near), HEARTBEAT_FAN_OUT)
+        targets = self.fan_out.next_round(self.table, later, changed=False, urgent=False)
+        self.assertEqual(len(targets.near), HEARTBEAT_FAN_OUT)
         self.assertGreater(later, NOW + FAR_INTERVAL_SECONDS)
-        self.assertEqual(len(turn.far), 2)
+        self.assertEqual(len(targets.far), 2)
 
-    def test_news_for_other_centres_does_not_wait(self) -> None:
+    def test_urgent_change_is_sent_to_other_data_centers_at_once(self) -> None:
         self.fill(10, 20, NOW)
         self.fan_out.next_round(self.table, NOW, changed=True, urgent=False)
-        turn = self.fan_out.next_round(self.table, NOW + 0.05, changed=True, urgent=True)
-        self.assertEqual(len(turn.far), 2)
+        targets = self.fan_out.next_round(self.table, NOW + 0.05, changed=True, urgent=True)
+        self.assertEqual(len(targets.far), 2)
 
-    def test_bytes_are_bounded_but_a_change_reaches_some(self) -> None:
+    def test_bytes_are_bounded_but_a_change_reaches_a_minimum_of_peers(self) -> None:
         self.fill(40, 20, NOW)
         sent = 0
         for step in range(100):
             now = NOW + step * 0.05
-            turn = self.fan_out.next_round(self.table, now, changed=True, urgent=False)
-            self.assertGreaterEqual(len(turn.near), MIN_FAN_OUT)
-            for _ in turn.near:
+            targets = self.fan_out.next_round(self.table, now, changed=True, urgent=False)
+            self.assertGreaterEqual(len(targets.near), MIN_FAN_OUT)
+            for _ in targets.near:
                 self.fan_out.record_bytes(372)
                 sent += 400
         self.assertLess(sent, NEAR_BYTES_PER_SECOND * 6 + 100 * MIN_FAN_OUT * 400)
 
 
 class FleetTest(unittest.TestCase):
-    def test_a_simulated_fleet_opens_no_descriptors(self) -> None:
+    def test_simulated_fleet_opens_no_descriptors(self) -> None:
         before = len(os.listdir("/proc/self/fd"))
         fleet = GossipFleet(centers=3, instances=40, seed=1)
         fleet.play(1.0)
         self.assertEqual(len(os.listdir("/proc/self/fd")), before)
 
-    def test_a_large_fleet_knows_its_proof_everywhere_within_a_budget(self) -> None:
+    def test_large_fleet_has_recent_proofs_everywhere_within_the_budget(self) -> None:
         fleet = GossipFleet(centers=3, instances=60, seed=1)
         fleet.play(12.0)
         before, reads = fleet.bytes_out, fleet.reads
@@ -226,25 +227,25 @@
         self.assertLess((fleet.bytes_out - before) / 5.0 / 60, NEAR_BYTES_PER_SECOND)
         self.assertLessEqual((fleet.reads - reads) / 5.0, 8.0)
 
-    def test_an_instance_that_joins_is_found_and_has_a_proof(self) -> None:
+    def test_joining_instance_is_discovered_and_receives_a_proof(self) -> None:
         for size in (5, 40):
             fleet = GossipFleet(centers=3, instances=size, seed=3)
             fleet.play(6.0)
-            spare = fleet.join()
+            joined = fleet.join()
             fleet.play(6.0)
-            self.assertEqual(len(spare.hosts), size)
-            self.assertTrue(all(spare.address.host in item.hosts for item in fleet.members[:size]))
-            proof = spare.publication.proof
+            self.assertEqual(len(joined.hosts), size)
+            self.assertTrue(all(joined.address.host in item.hosts for item in fleet.members[:size]))
+            proof = joined.publication.proof
             assert proof is not None
             self.assertLess(proof.age(fleet.now), 2.0)
 
-    def test_instances_that_all_start_hear_one_another_within_a_second(self) -> None:
+    def test_instances_that_start_together_see_one_another_within_a_second(self) -> None:
         fleet = GossipFleet(centers=3, instances=9, seed=4)
         fleet.play(0.7)
         alive = [len(item.peer_table.alive(fleet.now)) for item in fleet.members]
         self.assertEqual(alive, [8] * 9)
 
-    def test_a_centre_that_is_cut_off_is_noticed_and_heard_again(self) -> None:
+    def test_partitioned_data_center_is_detected_and_recovers(self) -> None:
         fleet = GossipFleet(centers=3, instances=60, seed=2)
         fleet.play(8.0)
         fleet.cut = {"c2"}
--- a/pondpin/tests/test_relay_notice_fleet.py
+++ b/pondpin/tests/test_relay_notice_fleet.py
@@ -1,6 +1,7 @@
-"""Eight instances' beliefs in simulated time: lists that lapse, lives, rests, cuts and restarts.
+"""Upstream notices at eight instances in simulated time: outages, rests, partitions, restarts.
 
-The tables, standings and digests of leaving are the product's; the world around them is drawn.
+The tables, standings and digests of leaving upstreams are those of the product; upstreams, store
+and faults are random.
 """
 
 import os
@@ -27,13 +28,13 @@
 STEPS = 400
 SERVICE = "engines"
 READ_STEPS = 10
-TELL_STEPS = 4
+DIGEST_STEPS = 4
 FIRST_BORN = 1_700_000_000_000
 
 
 @dataclass
 class Life:
-    """One life of an upstream, as it is."""
+    """One life of an upstream and its actual state."""
 
     listed: ListedUpstream
     says_leaving: bool = False
@@ -43,19 +44,19 @@
 
 
 class Instance:
-    """One instance's beliefs; a restart forgets them."""
+    """The state of one instance, which a restart clears."""
 
     def __init__(self, name: str, clock: FakeClock, log: EventLog) -> None:
         self.name, self.clock, self.log = name, clock, log
         self.starts = 0
-        self.cut = False
+        self.is_partitioned = False
         self.start()
 
     def start(self) -> None:
         self.starts += 1
         self.table = UpstreamTable("north")
         metrics = Metrics(self.name, "north")
-        self.hearing = NoticeHandler(
+        self.notice_handler = NoticeHandler(
             self.table, lambda: None, lambda: None, metrics, self.log, self.clock
         )
 
@@ -64,39 +65,39 @@
         return f"{self.name}/{self.starts}"
 
 
-class World:
-    """Draws what happens, and notes what reaches whom."""
+class Simulation:
+    """Simulates random events, and records the requests that reach each life."""
 
-    def __init__(self, seed: int, tells_start: bool) -> None:
+    def __init__(self, seed: int, names_start: bool) -> None:
         self.rng = random.Random(seed)
         self.clock = FakeClock()
         log = EventLog("x", self.clock, self.clock, os.open(os.devnull, os.O_WRONLY))
         self.instances = [Instance(f"relay-{n}", self.clock, log) for n in range(INSTANCES)]
-        self.tells_start = tells_start
+        self.names_start = names_start
         self.number = 0
         self.lives = [self.new_life(f"e{n}") for n in range(UPSTREAMS)]
         self.ended: list[Life] = []
-        self.store_away = False
-        self.sent = 0
+        self.is_store_down = False
+        self.sent_count = 0
 
     def new_life(self, name: str) -> Life:
         self.number += 1
-        born = FIRST_BORN + self.number if self.tells_start else None
-        name = name if self.tells_start else f"{name.partition('.')[0]}.{self.number}"
+        born = FIRST_BORN + self.number if self.names_start else None
+        name = name if self.names_start else f"{name.partition('.')[0]}.{self.number}"
         port = 8000 + self.number
         return Life(ListedUpstream(name, SERVICE, "10.0.0.1", port, "north", 8, False, born))
 
     def step(self, number: int) -> None:
         self.clock.advance(STEP_SECONDS)
-        self.disturb()
-        for place, instance in enumerate(self.instances):
-            if (number + place) % READ_STEPS == 0 and not self.store_away:
+        self.apply_random_event()
+        for index, instance in enumerate(self.instances):
+            if (number + index) % READ_STEPS == 0 and not self.is_store_down:
                 self.read_list(instance)
             self.send(instance)
-        if number % TELL_STEPS == 0:
-            self.tell()
+        if number % DIGEST_STEPS == 0:
+            self.send_digests()
 
-    def disturb(self) -> None:
+    def apply_random_event(self) -> None:
         rng = self.rng
         life = rng.choice(self.lives)
         draw = rng.random()
@@ -115,30 +116,30 @@
             self.ended.append(life)
             self.lives[self.lives.index(life)] = self.new_life(life.listed.id)
         elif draw < 0.14:
-            self.store_away = not self.store_away
+            self.is_store_down = not self.is_store_down
         elif draw < 0.15:
-            rng.choice(self.instances).cut ^= True
+            rng.choice(self.instances).is_partitioned ^= True
         elif draw < 0.155:
             rng.choice(self.instances).start()
 
     def read_list(self, instance: Instance) -> None:
-        if instance.cut:
+        if instance.is_partitioned:
             return
         listed = [life.listed for life in self.lives if life.is_listed]
         present = {item.id for item in listed}
         missing = [name for name in instance.table.by_id if name not in present]
         instance.table.apply_list(listed, missing, self.clock())
 
-    def tell(self) -> None:
+    def send_digests(self) -> None:
         now = self.clock()
-        told = [
+        digests = [
             instance.table.rotated_leaving(MAX_DIGEST_LEAVING, now)
             for instance in self.instances
-            if not instance.cut
+            if not instance.is_partitioned
         ]
         for instance in self.instances:
-            if not instance.cut:
-                for lives in told:
+            if not instance.is_partitioned:
+                for lives in digests:
                     for life in lives:
                         instance.table.mark_leaving(life, "peer", now)
 
@@ -150,14 +151,14 @@
         state = self.rng.choice(usable)
         life = next((item for item in self.lives if item.listed.life == state.life), None)
         if life is None:
-            # Its process is gone; the connection is refused.
+            # The process has ended, so the connection is refused.
             return
-        self.sent += 1
+        self.sent_count += 1
         life.wishes.note(instance.sender, now, life.says_leaving, life.rest)
         notice = Notice(life.says_leaving, life.rest)
         status = 503 if life.rest else 200
         head = AnswerHead(status, "a", bool(life.rest), None, False, True, None, "", notice, ())
-        instance.hearing.handle_head(SentRequest(state.id, state.life, REQUEST, now), head)
+        instance.notice_handler.handle_head(SentRequest(state.id, state.life, REQUEST, now), head)
         if not life.rest:
             state.standing.note_taken(now)
 
@@ -167,17 +168,19 @@
 
 class FleetTest(unittest.TestCase):
     @given(st.integers(0, 1 << 30), st.booleans())
-    def test_no_instance_sends_to_whom_it_heard(self, seed: int, tells_start: bool) -> None:
-        world = World(seed, tells_start)
+    def test_no_instance_sends_to_leaving_or_resting_upstreams(
+        self, seed: int, names_start: bool
+    ) -> None:
+        simulation = Simulation(seed, names_start)
         for number in range(STEPS):
-            world.step(number)
-        self.assertGreater(world.sent, 0)
-        for wishes in world.all_wishes():
-            # Nothing is on its way in this world: not one request may come.
+            simulation.step(number)
+        self.assertGreater(simulation.sent_count, 0)
+        for wishes in simulation.all_wishes():
+            # Requests have no transit time here, so none may arrive late.
             self.assertEqual(wishes.late(0.0), 0)
             self.assertEqual(sum(wishes.in_rests()), 0)
 
-    def test_the_check_sees_both(self) -> None:
+    def test_checks_count_requests_after_leaving_and_in_rests(self) -> None:
         wishes = Wishes()
         wishes.note("a", 0.0, True)
         wishes.note("a", 2.5, True)
--- a/pondpin/tests/test_release_mix.py
+++ b/pondpin/tests/test_release_mix.py
@@ -1,4 +1,4 @@
-"""Releases with and without epochs side by side, while instances are replaced one by one."""
+"""Interoperation of releases with and without epochs during a rolling update."""
 
 import unittest
 from dataclasses import replace
@@ -42,7 +42,7 @@
 
 
 class EarlierDigest(msgspec.Struct, frozen=True, array_like=True):
-    """A digest as releases without epochs have it, up to where the later fields begin."""
+    """A digest of releases without epochs, up to the first later field."""
 
     format: int
     instance: str
@@ -67,7 +67,7 @@
 
 
 class EarlierRequest(msgspec.Struct, frozen=True, array_like=True):
-    """A request for a piece as releases without epochs make it."""
+    """A request for a piece from releases without epochs."""
 
     kind: int
     have: int
@@ -77,7 +77,7 @@
 
 
 class EarlierItem(msgspec.Struct, frozen=True, array_like=True):
-    """An item as releases without epochs read it."""
+    """An item as releases without epochs decode it."""
 
     key: str
     revision: int
@@ -85,7 +85,7 @@
 
 
 class EarlierPacked(msgspec.Struct, frozen=True, array_like=True):
-    """A packed document as releases without epochs read it."""
+    """A packed document as releases without epochs decode it."""
 
     version: int
     base_version: int
@@ -104,12 +104,12 @@
 
 
 class WireTest(unittest.TestCase):
-    def test_earlier_release_reads_a_later_digest(self) -> None:
-        told = make_digest("a", 1, 3, epoch=2, version=10, version_epoch=1, revision=62)
-        found = msgspec.msgpack.decode(encode_digest(told), type=EarlierDigest)
+    def test_earlier_release_decodes_a_later_digest(self) -> None:
+        announced = make_digest("a", 1, 3, epoch=2, version=10, version_epoch=1, revision=62)
+        found = msgspec.msgpack.decode(encode_digest(announced), type=EarlierDigest)
         self.assertEqual((found.format, found.revision), (DIGEST_FORMAT, 62))
 
-    def test_later_release_reads_an_earlier_digest(self) -> None:
+    def test_later_release_decodes_an_earlier_digest(self) -> None:
         fields = msgspec.to_builtins(make_digest("a", 1, 3, revision=62))
         found = decode_digest(
             msgspec.msgpack.encode(fields[: len(EarlierDigest.__struct_fields__)])
@@ -117,35 +117,35 @@
         assert found is not None
         self.assertEqual((found.epoch, found.version, found.revision), (0, None, 62))
 
-    def test_bytes_that_epochs_add_to_a_digest_are_few(self) -> None:
+    def test_epochs_add_few_bytes_to_a_digest(self) -> None:
         whole = make_digest("a", 1, 3, epoch=3, version=1000, version_epoch=3)
         before = len(msgspec.msgpack.encode(msgspec.to_builtins(whole)[:-3]))
         self.assertLessEqual(len(encode_digest(whole)) - before, 5)
 
 
-class ToldTest(unittest.TestCase):
+class DigestVersionTest(unittest.TestCase):
     def test_earlier_release_is_compared_while_the_source_names_no_epoch(self) -> None:
         in_force = PublishedVersion(10, 0, 62, 7)
         for revision, newer in ((61, False), (62, False), (63, True)):
-            told = digest_version(make_digest("a", 1, 1, revision=revision), in_force)
-            assert told is not None
-            self.assertEqual(told.is_newer_than(in_force), newer)
+            announced = digest_version(make_digest("a", 1, 1, revision=revision), in_force)
+            assert announced is not None
+            self.assertEqual(announced.is_newer_than(in_force), newer)
 
-    def test_earlier_release_tells_nothing_newer_once_there_are_epochs(self) -> None:
+    def test_earlier_release_announces_nothing_newer_once_there_are_epochs(self) -> None:
         in_force = PublishedVersion(10, 2, 34, 7)
-        told = digest_version(make_digest("a", 1, 1, revision=62), in_force)
-        assert told is not None
-        self.assertFalse(told.is_newer_than(in_force))
-
-    def test_earlier_release_helps_an_instance_that_has_nothing(self) -> None:
-        told = digest_version(make_digest("a", 1, 1, revision=62), NOTHING_PUBLISHED)
-        assert told is not None
-        self.assertTrue(told.is_newer_than(NOTHING_PUBLISHED))
+        announced = digest_version(make_digest("a", 1, 1, revision=62), in_force)
+        assert announced is not None
+        self.assertFalse(announced.is_newer_than(in_force))
+
+    def test_earlier_release_announces_to_an_instance_without_configuration(self) -> None:
+        announced = digest_version(make_digest("a", 1, 1, revision=62), NOTHING_PUBLISHED)
+        assert announced is not None
+        self.assertTrue(announced.is_newer_than(NOTHING_PUBLISHED))
         self.assertIsNone(digest_version(make_digest("a", 1, 1, revision=0), NOTHING_PUBLISHED))
 
 
 class DocumentsTest(unittest.TestCase):
-    def test_earlier_release_gets_a_whole_configuration_that_it_can_read(self) -> None:
+    def test_earlier_release_receives_a_whole_configuration_that_it_can_decode(self) -> None:
         server = DocumentServer(publication(2, published_version(10, 34, 2)), lambda: NOW)
         asked = msgspec.msgpack.encode(
             EarlierRequest(DocumentKind.CONFIGURATION, 62, 0, 0, "10.0.0.1")
@@ -156,7 +156,7 @@
         item = msgspec.msgpack.decode(document.value, type=EarlierItem)
         self.assertEqual((item.revision, item.value), (34, configuration_item(10, 1).value))
 
-    def test_document_of_an_earlier_release_is_read(self) -> None:
+    def test_document_of_an_earlier_release_is_decoded(self) -> None:
         server = DocumentServer(publication(0, published_version(10, 34)), lambda: NOW)
         reply = server.answer(FetchPieceRequest(DocumentKind.CONFIGURATION, host="x"), NOW)
         item = decode_configuration(unpack(reply.piece, lambda _: None))
@@ -173,12 +173,12 @@
         )
         return server.answer(decode_request(encode_message(request)), NOW)
 
-    def test_peer_that_has_the_newest_is_sent_nothing(self) -> None:
+    def test_peer_with_the_newest_version_is_sent_nothing(self) -> None:
         server = DocumentServer(publication(2, published_version(10, 34, 2)), lambda: NOW)
         for have in (published_version(10, 34, 2), published_version(11, 20, 1)):
             self.assertEqual(self.ask(server, have).packed_id, 0)
 
-    def test_peer_with_the_same_content_of_an_earlier_epoch_learns_the_later_one(self) -> None:
+    def test_peer_with_the_same_content_of_an_earlier_epoch_receives_the_later_one(self) -> None:
         server = DocumentServer(publication(2, published_version(10, 34, 2)), lambda: NOW)
         own = publication(1, published_version(10, 62, 1))
         reply = self.ask(server, own.in_force)
@@ -195,8 +195,8 @@
         self.assertEqual(item, configuration_item(10, 34, 2))
 
 
-class _Offers:
-    """Keeps what is offered in the place of fetching it."""
+class _RecordingFetcher:
+    """Records offers in place of fetching them."""
 
     def __init__(self) -> None:
         self.offers: list[object] = []
@@ -208,25 +208,25 @@
         """Nothing to close."""
 
 
-class NewsTest(unittest.TestCase):
+class PublishedSyncTest(unittest.TestCase):
     def setUp(self) -> None:
         self.gossip = GossipFleet(centers=1, instances=1, seed=1).members[0]
         self.gossip.boot = OWN_BOOT
         self.publication = publication(2, published_version(10, 34, 2))
         self.gossip.publication = self.publication
         self.publication.apply_list([server_item("a", 3)], NOW, NOW, 2)
-        self.news = PublishedSync(self.gossip)
-        self.offers = _Offers()
-        self.news.__dict__["_fetcher"] = self.offers
+        self.sync = PublishedSync(self.gossip)
+        self.offers = _RecordingFetcher()
+        self.sync.__dict__["_fetcher"] = self.offers
 
-    def receive(self, **told: object) -> list[object]:
-        """A digest that answers one sent at NOW + 5."""
+    def receive(self, **announced: object) -> list[object]:
+        """Receive a digest that echoes one sent at NOW + 5; return the offers."""
         echo = {"echo_boot": OWN_BOOT, "echo": int((NOW + 5) * 1000)}
         self.offers.offers.clear()
-        self.news.receive(make_digest("p", 3, 1, **(echo | told)), NOW + 6)
+        self.sync.receive(make_digest("p", 3, 1, **(echo | announced)), NOW + 6)
         return self.offers.offers
 
-    def told(self, version: PublishedVersion, epoch: int) -> dict[str, object]:
+    def announced(self, version: PublishedVersion, epoch: int) -> dict[str, object]:
         return {
             "epoch": epoch,
             "version": version.version,
@@ -234,24 +234,26 @@
             "revision": version.revision,
         }
 
-    def test_digest_of_an_earlier_epoch_proves_and_lists_nothing(self) -> None:
+    def test_digest_of_an_earlier_epoch_changes_neither_proof_nor_list(self) -> None:
         proof, list_at = self.publication.proof, self.publication.list_at
-        offers = self.receive(**self.told(published_version(10, 62, 1), 1), list_tag=5, list_age=0)
+        offers = self.receive(
+            **self.announced(published_version(10, 62, 1), 1), list_tag=5, list_age=0
+        )
         self.assertEqual(offers, [])
         self.assertEqual((self.publication.proof, self.publication.list_at), (proof, list_at))
 
     def test_higher_version_of_an_earlier_epoch_is_fetched(self) -> None:
         newer = published_version(11, 20, 1)
-        self.assertEqual(self.receive(**self.told(newer, 1)), [replace(newer, content=0)])
+        self.assertEqual(self.receive(**self.announced(newer, 1)), [replace(newer, content=0)])
         self.assertGreater(self.publication.behind_seconds(NOW + 7), 0.0)
 
     def test_peer_that_is_behind_in_the_same_epoch_proves_the_version_in_force(self) -> None:
         older = published_version(6, 30, 2)
-        self.assertEqual(self.receive(**self.told(older, 2), list_age=-1), [])
+        self.assertEqual(self.receive(**self.announced(older, 2), list_age=-1), [])
         self.assertEqual(self.publication.proof, Proof(replace(older, content=0), NOW + 5))
 
-    def test_peers_tell_of_a_new_epoch(self) -> None:
-        self.receive(**self.told(published_version(10, 34, 2), 3), list_tag=5, list_age=0)
+    def test_new_epoch_is_received_from_peers(self) -> None:
+        self.receive(**self.announced(published_version(10, 34, 2), 3), list_tag=5, list_age=0)
         self.assertEqual(self.publication.epoch, 3)
 
     def test_revision_of_an_earlier_release_proves_nothing_once_there_are_epochs(self) -> None:
@@ -260,14 +262,14 @@
         self.assertEqual(self.receive(revision=99, list_tag=8), [])
         self.assertEqual(self.publication.proof, proof)
 
-    def test_list_of_the_present_epoch_is_fetched(self) -> None:
-        told = self.told(published_version(10, 34, 2), 2)
-        offers = self.receive(**told, list_tag=5, list_age=1000)
+    def test_list_of_the_current_epoch_is_fetched(self) -> None:
+        announced = self.announced(published_version(10, 34, 2), 2)
+        offers = self.receive(**announced, list_tag=5, list_age=1000)
         self.assertEqual(offers, [ListOffer(5, 2, NOW + 4.0)])
 
 
 class StartTest(unittest.TestCase):
-    """An instance that starts while the source holds an older copy."""
+    """A start while the source holds an older copy of the configuration."""
 
     def setUp(self) -> None:
         self.recorder = Recorder()
@@ -277,7 +279,7 @@
     def read_copy(self) -> None:
         self.publication.apply_configuration(configuration_item(6, 34, 2), NOW + 0.1, NOW + 0.1)
 
-    def test_peers_version_goes_before_the_copys(self) -> None:
+    def test_version_of_peers_precedes_that_of_the_copy(self) -> None:
         self.read_copy()
         self.assertTrue(
             self.publication.receive_peer_version(published_version(10, 62, 1), NOW + 0.2)
@@ -288,22 +290,22 @@
         self.publication.apply_configuration(peers, None, NOW + 0.4, from_peer=True)
         self.publication.apply_pending(NOW + 0.5)
         self.assertEqual(self.recorder.versions, [10])
-        # The read of the copy proves that nothing newer was published.
+        # The read of the copy proves that no newer version was published.
         self.assertEqual(self.publication.proof, Proof(published_version(6, 34, 2), NOW + 0.1))
 
-    def test_alone_the_copy_is_served(self) -> None:
+    def test_copy_is_applied_without_peers(self) -> None:
         self.read_copy()
         self.assertEqual(self.recorder.versions, [])
         self.publication.apply_pending(NOW + 0.25)
         self.assertEqual(self.recorder.versions, [6])
         self.assertFalse(self.publication.peers_seen)
 
-    def test_a_peer_without_anything_newer_ends_the_wait(self) -> None:
+    def test_peer_without_a_newer_version_ends_the_wait(self) -> None:
         self.publication.receive_peer_version(published_version(6, 34, 2), NOW + 0.05)
         self.read_copy()
         self.assertEqual(self.recorder.versions, [6])
 
-    def test_a_peer_that_falls_silent_is_not_waited_for(self) -> None:
+    def test_wait_ends_for_a_peer_that_becomes_silent(self) -> None:
         self.publication.receive_peer_version(published_version(10, 62, 1), NOW)
         self.read_copy()
         self.publication.apply_pending(NOW + 2.0)
