--- a/pondpin/relay/peers/digest_builder.py
+++ b/pondpin/relay/peers/digest_builder.py
@@ -36,7 +36,7 @@
         is_current = publication.list_epoch == publication.epoch
         list_at = publication.list_at if is_current else None
         work_digests = (state.digest(now) for state in table.by_id.values() if state.work_by_key)
-        near, far = self._peer_hosts()
+        local, remote = self._peer_hosts()
         return Digest(
             format=DIGEST_FORMAT,
             instance=gossip.instance,
@@ -55,8 +55,8 @@
             leaving=table.rotated_leaving(MAX_DIGEST_LEAVING, now),
             ejected=self._ejected(now),
             work=tuple(work for work in work_digests if work is not None),
-            hosts=self._sample(near),
-            far_hosts=self._sample(far),
+            hosts=self._sample(local),
+            remote_hosts=self._sample(remote),
             interval_ms=round_up_ms(PERIOD_SECONDS),
             wants_reply=False,
             queued_prompts=gossip.calendar.digest(now),
@@ -70,11 +70,13 @@
 
     def _peer_hosts(self) -> tuple[list[str], list[str]]:
         """Hosts of the own and of other data centres; digests spread them to all."""
-        near: list[str] = []
-        far: list[str] = []
+        local: list[str] = []
+        remote: list[str] = []
         for peer in self._gossip.peer_table.by_host.values():
-            (near if peer.data_center == self._gossip.table.data_center else far).append(peer.host)
-        return near, far
+            (local if peer.data_center == self._gossip.table.data_center else remote).append(
+                peer.host
+            )
+        return local, remote
 
     def _sample(self, hosts: list[str]) -> tuple[str, ...]:
         return tuple(self._gossip.rng.sample(hosts, min(MAX_DIGEST_HOSTS, len(hosts))))
--- a/pondpin/relay/peers/digests.py
+++ b/pondpin/relay/peers/digests.py
@@ -53,7 +53,7 @@
     boot: random number of the process; stamp: its steady clock; echo_boot, echo: boot and stamp of
     the receiver's last digest. interval_ms: expected time to the receiver's next digest.
     data_center_loads: sent to other data centres instead of work. hosts: a sample from the sender's
-    data centre; far_hosts: from others. quarantine_tag: hash of the life ends attributed to
+    data centre; remote_hosts: from others. quarantine_tag: hash of the life ends attributed to
     requests, 0 for none. issues_permits: False while the sender stops.
 
     epoch: highest known of the source. version, version_epoch, revision: configuration in force,
@@ -82,7 +82,7 @@
     wants_reply: bool
     data_center_loads: tuple[DataCenterLoad, ...] = ()
     queued_prompts: tuple[QueuedPromptDigest, ...] = ()
-    far_hosts: tuple[str, ...] = ()
+    remote_hosts: tuple[str, ...] = ()
     quarantine_tag: int = 0
     limits: tuple[LimitDigest, ...] = ()
     issues_permits: bool = True
@@ -151,14 +151,10 @@
         """Record a digest; False for an own or an outdated one."""
         if digest.boot == self._own_boot:
             return False
-        previous = self.by_host.get(digest.host)
-        if (
-            previous is not None
-            and previous.boot == digest.boot
-            and digest.sequence <= previous.sequence
-        ):
+        last = self.by_host.get(digest.host)
+        if last is not None and last.boot == digest.boot and digest.sequence <= last.sequence:
             return False
-        seen = PeerRecord(
+        record = PeerRecord(
             digest.instance,
             digest.boot,
             digest.host,
@@ -170,17 +166,17 @@
             digest.interval_ms / MILLISECONDS,
             digest.issues_permits,
         )
-        self.by_host[digest.host] = seen
-        self._seen_at_by_data_center[seen.data_center] = now
-        self._note_alive(seen, previous)
+        self.by_host[digest.host] = record
+        self._seen_at_by_data_center[record.data_center] = now
+        self._note_alive(record, last)
         return True
 
-    def _note_alive(self, seen: PeerRecord, previous: PeerRecord | None) -> None:
-        is_same = previous is not None and previous.instance == seen.instance
-        if not is_same or seen.host not in self._alive_by_host:
+    def _note_alive(self, record: PeerRecord, last: PeerRecord | None) -> None:
+        is_same = last is not None and last.instance == record.instance
+        if not is_same or record.host not in self._alive_by_host:
             self.change_count += 1
-        self._alive_by_host[seen.host] = seen
-        self._alive_until = min(self._alive_until, seen.alive_until)
+        self._alive_by_host[record.host] = record
+        self._alive_until = min(self._alive_until, record.alive_until)
 
     @property
     def is_large(self) -> bool:
@@ -221,15 +217,15 @@
     def rank(self, instance: str, data_center: str, now: float) -> int:
         """Number of live peers that read the source before this instance.
 
-        Large fleets compare neighbours, since others are rarely in contact, and rank data centres.
+        Large fleets compare local peers, since others rarely send, and rank data centres by name.
         """
         readers = [peer for peer in self.alive(now) if peer.reads_source]
         if not self.is_large:
             return sum(1 for peer in readers if peer.instance < instance)
-        near = [peer for peer in readers if peer.data_center == data_center]
+        local = [peer for peer in readers if peer.data_center == data_center]
         others = {peer.data_center for peer in readers} - self.silent_data_centers(now)
         before = sum(1 for name in others if name < data_center)
-        return before + sum(1 for peer in near if peer.instance < instance)
+        return before + sum(1 for peer in local if peer.instance < instance)
 
 
 def digest_version(digest: Digest, in_force: PublishedVersion) -> PublishedVersion | None:
--- a/pondpin/relay/peers/gossip.py
+++ b/pondpin/relay/peers/gossip.py
@@ -107,7 +107,7 @@
 
     @cached_property
     def limits(self) -> "LimitEnforcement":
-        """Imported once an upstream names a limit, as few do."""
+        """Enforcement of limits, imported once an upstream names one, as few do."""
         from pondpin.relay.peers.limit_enforcement import LimitEnforcement
 
         return LimitEnforcement(self)
@@ -139,7 +139,7 @@
         return turn_of(identity, self.instance, self._live)
 
     def count_reporting_peers(self) -> int:
-        """Count peers that report work; in a large fleet, neighbours."""
+        """Count peers that report work; in a large fleet, local ones."""
         if not self.peer_table.is_large:
             return len(self.hosts)
         alive = self.peer_table.alive(self.clock())
@@ -178,8 +178,8 @@
         if not self.peer_table.apply(digest, now):
             return
         self.quarantine_sync.sync_peer(digest, now)
-        near = self.peer_hosts.add((digest.host, *digest.hosts), digest.data_center, now)
-        if self.peer_hosts.add(digest.far_hosts, "", now) or near:
+        any_new = self.peer_hosts.add((digest.host, *digest.hosts), digest.data_center, now)
+        if self.peer_hosts.add(digest.remote_hosts, "", now) or any_new:
             # Contact new hosts with the next digests.
             self._contacted_at = float("-inf")
         self._published.receive(digest, now)
@@ -249,29 +249,29 @@
         targets = self._fan_out.next_round(
             self.peer_table, now, fields != self._sent_fields, urgent
         )
-        if targets.near:
+        if targets.local:
             self._sent_fields = fields
-        near = msgspec.structs.replace(base, interval_ms=round_up_ms(targets.interval))
-        for peer in targets.near:
-            self._fan_out.record_bytes(self._send_digest(near, peer.host, peer))
-        if targets.far:
-            self._send_far(base, targets, now)
+        local = msgspec.structs.replace(base, interval_ms=round_up_ms(targets.interval))
+        for peer in targets.local:
+            self._fan_out.record_bytes(self._send_digest(local, peer.host, peer))
+        if targets.remote:
+            self._send_remote(base, targets, now)
         if now - self._contacted_at >= CONTACT_INTERVAL_SECONDS:
             self._contacted_at = now
-            interval = targets.far_interval if self.peer_table.is_large else targets.interval
+            interval = targets.remote_interval if self.peer_table.is_large else targets.interval
             self._contact(msgspec.structs.replace(base, interval_ms=round_up_ms(interval)), now)
 
-    def _send_far(self, base: Digest, targets: Round, now: float) -> None:
-        far = msgspec.structs.replace(
+    def _send_remote(self, base: Digest, targets: Round, now: float) -> None:
+        remote = msgspec.structs.replace(
             base,
             work=(),
             queued_prompts=(),
             wants_reply=True,
-            interval_ms=round_up_ms(targets.far_interval),
+            interval_ms=round_up_ms(targets.remote_interval),
             data_center_loads=self.table.own_data_center_loads(now),
         )
-        for peer in targets.far:
-            self._send_digest(far, peer.host, peer)
+        for peer in targets.remote:
+            self._send_digest(remote, peer.host, peer)
 
     def _contact(self, base: Digest, now: float) -> None:
         silent = self.peer_hosts.hosts_to_contact(self.peer_table, now)
--- a/pondpin/relay/peers/hosts.py
+++ b/pondpin/relay/peers/hosts.py
@@ -9,7 +9,7 @@
 # A host that no digest names for this long is dropped; seeds never are.
 HOST_EXPIRY_SECONDS = 120.0
 # In a large fleet, live peers of another data centre that suffice to contact no further host.
-MIN_FAR_PEERS = 6
+MIN_REMOTE_PEERS = 6
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,21 +71,21 @@
                 self._all = None
 
     def hosts_to_contact(self, peers: PeerTable, now: float) -> list[str]:
-        """Silent hosts to contact; in a large fleet neighbours, else a few of each data centre.
+        """Silent hosts to contact; in a large fleet local ones, else a few of each data centre.
 
         Contacting all took 16 of the 43 digests a second of an idle instance among 195, and after
-        2 s only 17 of 38 neighbours were known.
+        2 s only 17 of 38 local peers were known.
         """
         alive = peers.alive(now)
         silent = sorted(self.all - {peer.host for peer in alive})
         if not peers.is_large:
             return silent
-        near = [host for host in silent if self._is_near(host)]
-        if near:
-            return near
+        local = [host for host in silent if self._is_local(host)]
+        if local:
+            return local
         live = Counter(peer.data_center for peer in alive)
         by_host = {host: self._data_center_by_host.get(host, "") for host in silent}
-        return [host for host in silent if by_host[host] and live[by_host[host]] < MIN_FAR_PEERS]
+        return [host for host in silent if by_host[host] and live[by_host[host]] < MIN_REMOTE_PEERS]
 
-    def _is_near(self, host: str) -> bool:
+    def _is_local(self, host: str) -> bool:
         return self._data_center_by_host.get(host) == self._data_center or host in self._seeds
--- a/pondpin/relay/peers/published_sync.py
+++ b/pondpin/relay/peers/published_sync.py
@@ -83,8 +83,8 @@
             self._offer(digest, ListOffer(digest.list_tag, digest.epoch, read_at), now)
 
     def _offer(self, digest: Digest, offer: PublishedVersion | ListOffer, now: float) -> None:
-        is_far = (
+        is_remote = (
             self._gossip.peer_table.is_large
             and digest.data_center != self._gossip.table.data_center
         )
-        self._fetcher.receive_offer(digest.host, offer, is_far, now)
+        self._fetcher.receive_offer(digest.host, offer, is_remote, now)
--- a/pondpin/tests/test_relay_gossip.py
+++ b/pondpin/tests/test_relay_gossip.py
@@ -22,11 +22,11 @@
     encode_digest,
 )
 from pondpin.relay.peers.fan_out import (
-    FAR_INTERVAL_SECONDS,
     HEARTBEAT_FAN_OUT,
     HEARTBEAT_SECONDS,
+    LOCAL_BYTES_PER_SECOND,
     MIN_FAN_OUT,
-    NEAR_BYTES_PER_SECOND,
+    REMOTE_INTERVAL_SECONDS,
     FanOut,
 )
 from pondpin.tools.gossip_fleet import GossipFleet
@@ -135,7 +135,7 @@
         self.assertEqual(self.table.rank("m", "north", NOW), 1)
         self.assertEqual(self.table.rank("m", "north", NOW + ALIVE_SECONDS), 0)
 
-    def test_large_fleet_ranks_neighbours_after_other_data_centers(self) -> None:
+    def test_large_fleet_ranks_local_peers_after_other_data_centers(self) -> None:
         for number in range(10, SMALL_FLEET_PEERS + 12):
             data_center = "north" if number < 13 else "south"
             self.table.apply(make_digest(f"i{number:02}", number, 1, data_center=data_center), NOW)
@@ -160,9 +160,9 @@
         self.table = PeerTable(own_boot=999)
         self.fan_out = FanOut("north", random.Random(1))
 
-    def fill(self, near: int, far: int, now: float) -> None:
-        for number in range(1, near + far + 1):
-            data_center = "north" if number <= near else f"south{number % 2}"
+    def fill(self, local: int, remote: int, now: float) -> None:
+        for number in range(1, local + remote + 1):
+            data_center = "north" if number <= local else f"south{number % 2}"
             peer = make_digest(
                 f"i{number}", number, int(now * 10), data_center=data_center, interval_ms=5000
             )
@@ -171,31 +171,31 @@
     def test_small_fleet_sends_to_all_peers(self) -> None:
         self.fill(4, 5, NOW)
         targets = self.fan_out.next_round(self.table, NOW, changed=False, urgent=False)
-        self.assertEqual((len(targets.near), len(targets.far)), (9, 0))
+        self.assertEqual((len(targets.local), len(targets.remote)), (9, 0))
 
-    def test_large_fleet_sends_to_neighbours_and_one_peer_of_each_data_center(self) -> None:
+    def test_large_fleet_sends_to_local_peers_and_one_peer_of_each_data_center(self) -> None:
         self.fill(10, 20, NOW)
         targets = self.fan_out.next_round(self.table, NOW, changed=True, urgent=False)
-        self.assertEqual({peer.data_center for peer in targets.near}, {"north"})
-        self.assertEqual(len(targets.near), 10)
-        self.assertEqual({peer.data_center for peer in targets.far}, {"south0", "south1"})
+        self.assertEqual({peer.data_center for peer in targets.local}, {"north"})
+        self.assertEqual(len(targets.local), 10)
+        self.assertEqual({peer.data_center for peer in targets.remote}, {"south0", "south1"})
 
     def test_only_heartbeats_are_sent_without_changes(self) -> None:
         self.fill(10, 20, NOW)
         self.fan_out.next_round(self.table, NOW, changed=True, urgent=False)
         targets = self.fan_out.next_round(self.table, NOW + 0.2, changed=False, urgent=False)
-        self.assertEqual((targets.near, targets.far), ((), ()))
+        self.assertEqual((targets.local, targets.remote), ((), ()))
         later = NOW + HEARTBEAT_SECONDS
         targets = self.fan_out.next_round(self.table, later, changed=False, urgent=False)
-        self.assertEqual(len(targets.near), HEARTBEAT_FAN_OUT)
-        self.assertGreater(later, NOW + FAR_INTERVAL_SECONDS)
-        self.assertEqual(len(targets.far), 2)
+        self.assertEqual(len(targets.local), HEARTBEAT_FAN_OUT)
+        self.assertGreater(later, NOW + REMOTE_INTERVAL_SECONDS)
+        self.assertEqual(len(targets.remote), 2)
 
     def test_urgent_change_is_sent_to_other_data_centers_at_once(self) -> None:
         self.fill(10, 20, NOW)
         self.fan_out.next_round(self.table, NOW, changed=True, urgent=False)
         targets = self.fan_out.next_round(self.table, NOW + 0.05, changed=True, urgent=True)
-        self.assertEqual(len(targets.far), 2)
+        self.assertEqual(len(targets.remote), 2)
 
     def test_bytes_are_bounded_but_a_change_reaches_a_minimum_of_peers(self) -> None:
         self.fill(40, 20, NOW)
@@ -203,11 +203,11 @@
         for step in range(100):
             now = NOW + step * 0.05
             targets = self.fan_out.next_round(self.table, now, changed=True, urgent=False)
-            self.assertGreaterEqual(len(targets.near), MIN_FAN_OUT)
-            for _ in targets.near:
+            self.assertGreaterEqual(len(targets.local), MIN_FAN_OUT)
+            for _ in targets.local:
                 self.fan_out.record_bytes(372)
                 sent += 400
-        self.assertLess(sent, NEAR_BYTES_PER_SECOND * 6 + 100 * MIN_FAN_OUT * 400)
+        self.assertLess(sent, LOCAL_BYTES_PER_SECOND * 6 + 100 * MIN_FAN_OUT * 400)
 
 
 class FleetTest(unittest.TestCase):
@@ -224,7 +224,7 @@
         fleet.play(5.0)
         self.assertLess(max(fleet.proof_ages()), 2.0)
         self.assertEqual({len(item.hosts) for item in fleet.members}, {59})
-        self.assertLess((fleet.bytes_out - before) / 5.0 / 60, NEAR_BYTES_PER_SECOND)
+        self.assertLess((fleet.bytes_out - before) / 5.0 / 60, LOCAL_BYTES_PER_SECOND)
         self.assertLessEqual((fleet.reads - reads) / 5.0, 8.0)
 
     def test_joining_instance_is_discovered_and_receives_a_proof(self) -> None:
