--- a/pondpin/relay/upstreams/__init__.py
+++ b/pondpin/relay/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""The upstreams as an instance knows them: lives, work, loads, reports, leases."""
+"""State of upstreams in an instance: lives, work, loads, reports and leases."""
--- a/pondpin/relay/upstreams/data_center_loads.py
+++ b/pondpin/relay/upstreams/data_center_loads.py
@@ -1,16 +1,16 @@
-"""What data centres tell each other of the load of their upstreams, as a whole."""
+"""Total upstream load of each data centre, exchanged between peers."""
 
 from collections.abc import Iterable, Set
 from dataclasses import dataclass
 
 import msgspec
 
-# A word on a whole data centre changes slowly; it is told twice a second.
-CENTER_LOAD_SECONDS = 2.0
+# The load of a data centre changes slowly and is sent twice a second.
+LOAD_TTL_SECONDS = 2.0
 
 
 class DataCenterLoad(msgspec.Struct, frozen=True, array_like=True):
-    """The load of a service's upstreams in one data centre, as an instance there knows it."""
+    """The load of a service's upstreams in a data centre."""
 
     service: str
     upstreams: int
@@ -20,51 +20,51 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedLoad:
-    """What was told of a data centre, and when by this clock."""
+    """A received load and its time by the local clock."""
 
     load: DataCenterLoad
     received_at: float
 
     @property
     def mean_in_flight(self) -> float:
-        """Requests on an upstream there."""
+        """Mean number of requests per upstream."""
         return self.load.in_flight / max(1, self.load.upstreams)
 
 
 class DataCenterLoads:
-    """The last word of each other data centre, by service."""
+    """The last received load of each data centre and service."""
 
     def __init__(self, data_center: str) -> None:
         self._data_center = data_center
-        self._seen_by_key: dict[tuple[str, str], ReceivedLoad] = {}
+        self._received_by_key: dict[tuple[str, str], ReceivedLoad] = {}
 
-    def update(self, center: str, loads: Iterable[DataCenterLoad], now: float) -> None:
-        """Take a peer's word on its data centre."""
+    def update(self, data_center: str, loads: Iterable[DataCenterLoad], now: float) -> None:
+        """Apply the loads of a peer's data centre."""
         for load in loads:
-            self._seen_by_key[center, load.service] = ReceivedLoad(load, now)
+            self._received_by_key[data_center, load.service] = ReceivedLoad(load, now)
 
     def light_streams_elsewhere(self, service: str, now: float) -> int:
-        """Light streams on the engines of the other data centres."""
+        """Light streams on engines of other data centres."""
         return sum(
-            seen.load.light
-            for center, seen in self._lately(service, now)
-            if center != self._data_center
+            received.load.light
+            for data_center, received in self._recent(service, now)
+            if data_center != self._data_center
         )
 
     def least_loaded(
         self, service: str, silent: Set[str], now: float
     ) -> tuple[str, ReceivedLoad] | None:
-        """The data centre whose upstreams of a service have the fewest requests."""
-        heard = [
-            (center, seen)
-            for center, seen in self._lately(service, now)
-            if seen.load.upstreams and center not in silent
+        """The data centre with the fewest requests per upstream of a service."""
+        candidates = [
+            (data_center, received)
+            for data_center, received in self._recent(service, now)
+            if received.load.upstreams and data_center not in silent
         ]
-        return min(heard, key=lambda item: item[1].mean_in_flight, default=None)
+        return min(candidates, key=lambda item: item[1].mean_in_flight, default=None)
 
-    def _lately(self, service: str, now: float) -> list[tuple[str, ReceivedLoad]]:
+    def _recent(self, service: str, now: float) -> list[tuple[str, ReceivedLoad]]:
         return [
-            (center, seen)
-            for (center, name), seen in self._seen_by_key.items()
-            if name == service and now - seen.received_at < CENTER_LOAD_SECONDS
+            (data_center, received)
+            for (data_center, name), received in self._received_by_key.items()
+            if name == service and now - received.received_at < LOAD_TTL_SECONDS
         ]
--- a/pondpin/relay/upstreams/forecast.py
+++ b/pondpin/relay/upstreams/forecast.py
@@ -1,7 +1,7 @@
-"""Forecasts what a model engine does with a request, from its published figures.
+"""Latency forecasts for model engines from their published profiles.
 
-An engine works in passes. A pass with writers plays stride token steps, and the reading of
-prompts happens inside passes, so reading lengthens the pauses of those who write.
+A pass of an engine with decode streams runs stride token steps. Prefills run inside passes and
+lengthen the token gaps of the streams.
 """
 
 from collections.abc import Iterable, Sequence
@@ -9,22 +9,22 @@
 
 from pondpin.relay.model import EngineProfile
 
-# A stream is surely in time while its pause is forecast under the first share of the target, and
-# surely late above the second; forecasts of pauses err by about a sixth.
-SURE_SHARE = 0.7
-LATE_SHARE = 1.1
-# The same for the first event, where queues and other instances' choices add more spread.
-FIRST_SURE_SHARE = 0.6
-FIRST_LATE_SHARE = 1.2
-# Share of its worth that a waiting request loses for a delay of its whole target, while it is
-# still in time: further parts may come before it.
-PENDING_SHARE = 0.15
+# A gap forecast below the first share of its target surely meets it, one above the second surely
+# misses it: gap forecasts are off by about a sixth.
+HIT_SHARE = 0.7
+MISS_SHARE = 1.1
+# The same for the first event, which varies more with queues and placements by other instances.
+FIRST_HIT_SHARE = 0.6
+FIRST_MISS_SHARE = 1.2
+# Share of its weight that a queued request loses by a delay of its whole target, even within the
+# target: more parts may be put before it.
+PENDING_LOSS_SHARE = 0.15
 TOKENS_PER_K = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
 class DecodeStreams:
-    """Streams on an engine with the same target for their pauses; worth is their sum."""
+    """Streams on an engine with the same gap target; weight is their sum."""
 
     gap_target: float
     count: int
@@ -33,10 +33,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingPrefill:
-    """A request that waits for its prompt, or a part of it, to be read on an engine.
+    """A request with an unfinished prefill of its prompt, or a part of it, on an engine.
 
-    first_event: seconds from its start to its first event, as forecast now. Its parts on other
-    engines have the same group.
+    first_event: forecast seconds from its start. Its parts on other engines have the same group.
     """
 
     first_event: float
@@ -48,11 +47,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineLoad:
-    """An engine as believed now; reading is seconds of prompts still to be read.
+    """Estimated load of an engine; prefill_seconds is the unfinished prefill work.
 
-    A part that is read for another engine goes before all that the engine reads already, the
-    newest first (measured), so each of pending waits for it. long_until: seconds until the long
-    readings there are over, 0 when there are none.
+    Parts for other engines, the newest first, run before all of pending. long_prefill_seconds:
+    until the last long prefill ends, 0 without any.
     """
 
     in_flight: int
@@ -64,45 +62,45 @@
 
 
 def prefill_duration(profile: EngineProfile, tokens: int) -> float:
-    """Seconds that one engine takes to read a prompt alone."""
+    """Seconds of a prefill on a single engine."""
     pairs = tokens * tokens / 2
     return tokens / profile.read_rate + pairs * profile.pair_cost
 
 
 def pass_seconds(profile: EngineProfile, load: EngineLoad) -> float:
-    """Seconds of a pass with the engine's writers, without any reading."""
-    count = sum(writers.count for writers in load.decode_streams)
+    """Seconds of a pass without prefills."""
+    count = sum(streams.count for streams in load.decode_streams)
     if not count:
         return 0.0
     context = load.tokens / TOKENS_PER_K * profile.per_context_k
     return profile.stride * (profile.step + count * profile.per_writer + context)
 
 
-def miss_probability(seconds: float, target: float, sure: float, late: float) -> float:
-    """How likely something forecast to take seconds misses its target, 0 to 1."""
+def miss_probability(seconds: float, target: float, hit: float, miss: float) -> float:
+    """Probability that something forecast to take seconds misses its target."""
     if target <= 0:
         return 0.0
-    return min(1.0, max(0.0, (seconds / target - sure) / (late - sure)))
+    return min(1.0, max(0.0, (seconds / target - hit) / (miss - hit)))
 
 
 def decode_loss(profile: EngineProfile, load: EngineLoad, added: float) -> float:
-    """Worth that an engine's writers lose when added seconds of reading join the next pass."""
+    """Weight that decode streams lose if added seconds of prefill join the next pass."""
     before = pass_seconds(profile, load) + load.prefill_seconds
     return sum(
-        writers.weight * (_pause_late(before + added, writers) - _pause_late(before, writers))
-        for writers in load.decode_streams
+        streams.weight * (_gap_miss(before + added, streams) - _gap_miss(before, streams))
+        for streams in load.decode_streams
     )
 
 
 def delay_loss(item: PendingPrefill, added: float) -> float:
-    """Worth that a request loses when a part of added seconds goes before its own."""
-    late = first_event_miss_probability(item.first_event + added, item.target)
-    late -= first_event_miss_probability(item.first_event, item.target)
-    return item.weight * (late + PENDING_SHARE * added / max(item.target, added))
+    """Weight that a request loses if a part of added seconds is run before its prefill."""
+    miss = first_event_miss_probability(item.first_event + added, item.target)
+    miss -= first_event_miss_probability(item.first_event, item.target)
+    return item.weight * (miss + PENDING_LOSS_SHARE * added / max(item.target, added))
 
 
 def total_delay_loss(loads: Iterable[EngineLoad], added: float) -> float:
-    """Worth lost by all whose prompts are read on some engines; each request counts once."""
+    """Weight lost by all pending requests of some engines, counting each request once."""
     loss_by_group: dict[int, float] = {}
     for load in loads:
         for item in load.pending:
@@ -111,16 +109,16 @@
     return sum(loss_by_group.values())
 
 
-def _pause_late(pause: float, writers: DecodeStreams) -> float:
-    return miss_probability(pause, writers.gap_target, SURE_SHARE, LATE_SHARE)
+def _gap_miss(gap: float, streams: DecodeStreams) -> float:
+    return miss_probability(gap, streams.gap_target, HIT_SHARE, MISS_SHARE)
 
 
 def first_event_seconds(
     profile: EngineProfile, lead: EngineLoad, parts: Sequence[EngineLoad], part: float, tokens: int
 ) -> float:
-    """Seconds to the first event when every engine of parts reads part seconds of the prompt.
+    """Seconds to the first event if each engine of parts has a prefill of part seconds.
 
-    The lead's own writing starts after the last part and takes a pass for the first event.
+    The lead starts to decode after the last part and needs a pass for the first event.
     """
     slowest = pass_seconds(profile, lead) / 2 + lead.prefill_seconds + part
     for load in parts:
@@ -131,5 +129,5 @@
 
 
 def first_event_miss_probability(seconds: float, target: float) -> float:
-    """How likely a first event forecast after seconds misses its target."""
-    return miss_probability(seconds, target, FIRST_SURE_SHARE, FIRST_LATE_SHARE)
+    """Probability that a first event forecast after seconds misses its target."""
+    return miss_probability(seconds, target, FIRST_HIT_SHARE, FIRST_MISS_SHARE)
--- a/pondpin/relay/upstreams/notice_handler.py
+++ b/pondpin/relay/upstreams/notice_handler.py
@@ -1,4 +1,4 @@
-"""Takes what upstreams say of themselves in their answers, whatever was asked of them."""
+"""Handling of what upstreams report about themselves in any answer."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,12 +14,10 @@
 if TYPE_CHECKING:
     from pondpin.relay.upstreams.limit_handler import LimitHandler
 
-LISTED_AS = {True: "leaving", False: "ready"}
+STATE_BY_LEAVING = {True: "leaving", False: "ready"}
 ANSWER_SOURCE = "its answer"
-# A rest without end is told as this many seconds.
-LONGEST_TOLD = 1e9
-
-
+# Logged for an endless rest.
+MAX_LOGGED_SECONDS = 1e9
 MAX_LOGGED_CHARACTERS = 80
 REQUEST = "request"
 LIVENESS_CHECK = "liveness check"
@@ -27,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SentRequest:
-    """What an answer answers: the upstream and the life that were asked, what for, and when."""
+    """The request to which an answer belongs."""
 
     upstream: str
     life: int
@@ -35,87 +33,86 @@
     sent_at: float
 
 
-# Takes the head of an answer.
+# Is called with the head of each answer.
 HeadHandler = Callable[[SentRequest, AnswerHead], None]
 
 
-def ignore_head(asked: SentRequest, head: AnswerHead) -> None:
-    """See Listener: takes no notice."""
+def ignore_head(request: SentRequest, head: AnswerHead) -> None:
+    """A HeadHandler that does nothing."""
 
 
 class NoticeHandler:
-    """Notes and tells the notices of answers."""
+    """Records and logs the notices in answers."""
 
     def __init__(
         self,
         table: UpstreamTable,
         list_at: Callable[[], float | None],
-        tell_soon: Callable[[], None],
+        send_digest: Callable[[], None],
         metrics: Metrics,
         log: EventLog,
         clock: Clock,
-        tell_limit: Callable[[int, float], None] = lambda life, now: None,
+        broadcast_limit: Callable[[int, float], None] = lambda life, now: None,
     ) -> None:
-        """list_at: when the list of upstreams was last read; tell_soon: peers hear of a leaving;
-        tell_limit: every peer hears of a life's limit.
+        """list_at: when the list was last read; send_digest: sends peers the leaving lives;
+        broadcast_limit: sends all peers the limit of a life.
         """
-        self._tell_limit_news = tell_limit
+        self._broadcast_limit = broadcast_limit
         self._table = table
         self._list_at = list_at
-        self._tell_soon = tell_soon
+        self._send_digest = send_digest
         self._metrics = metrics
         self._log = log
         self._clock = clock
-        self._limits: LimitHandler | None = None
+        self._limit_handler: LimitHandler | None = None
 
-    def handle_head(self, asked: SentRequest, said: AnswerHead) -> None:
-        """Take the head of an answer, see Listener.
+    def handle_head(self, request: SentRequest, head: AnswerHead) -> None:
+        """Handle the head of an answer, see HeadHandler.
 
-        An upstream that names itself in its answer speaks for itself, also at another's address:
-        what it says is noted of its own id, listed or not.
+        A head that names an upstream counts for that id, listed or not, from whatever address.
         """
-        life, now = self._speaker(asked, said), self._clock()
-        notice = said.notice
-        if self._is_of_limits(said):
-            self._limit_hearing().handle_head(life, asked, said, now)
+        life, now = self._life_of(request, head), self._clock()
+        notice = head.notice
+        if self._concerns_limits(head):
+            self._get_limit_handler().handle_head(life, request, head, now)
         if not (notice.leaves or notice.rest or notice.odd):
             return
         if not self._table.standings.hear(life, notice, ANSWER_SOURCE, now):
             return
         if notice.rest > 0:
             self._metrics.rests_asked.inc({})
-        self._tell(life, said, asked.purpose, now)
+        self._log_notice(life, head, request.purpose, now)
         if notice.leaves:
             self.record_leaving(life, ANSWER_SOURCE, now)
 
-    def _is_of_limits(self, said: AnswerHead) -> bool:
-        """Whether an answer says anything of limits, also by naming none, or an unknown word."""
-        notice = said.notice
-        names_one = notice.limit is not None or bool(notice.odd_limit)
-        return names_one or bool(said.unknown_words) or self._table.standings.names_limits
+    def _concerns_limits(self, head: AnswerHead) -> bool:
+        """Whether a head states or may lift a limit, or has unknown headers."""
+        notice = head.notice
+        names_limit = notice.limit is not None or bool(notice.odd_limit)
+        return names_limit or bool(head.unknown_words) or self._table.standings.names_limits
 
-    def _limit_hearing(self) -> "LimitHandler":
-        """Loaded where an upstream says anything of it, which few ever do."""
-        if self._limits is None:
+    def _get_limit_handler(self) -> "LimitHandler":
+        """Load the handler on first use, as few upstreams have limits."""
+        if self._limit_handler is None:
             from pondpin.relay.upstreams.limit_handler import LimitHandler
 
-            self._limits = LimitHandler(self._table, self._log, self._tell_limit_news)
-        return self._limits
+            self._limit_handler = LimitHandler(self._table, self._log, self._broadcast_limit)
+        return self._limit_handler
 
-    def _speaker(self, asked: SentRequest, said: AnswerHead) -> int:
-        if said.instance and said.instance != asked.upstream:
-            return self._table.life_of_id(said.instance)
-        return asked.life
+    def _life_of(self, request: SentRequest, head: AnswerHead) -> int:
+        if head.instance and head.instance != request.upstream:
+            return self._table.life_of_id(head.instance)
+        return request.life
 
     def record_leaving(self, life: int, source: str, now: float) -> None:
-        """A life leaves: nothing more is sent to it, and peers hear of it with the next digest."""
+        """Stop sending to a leaving life, and report it in the next digest."""
         if self._table.mark_leaving(life, source, now):
             name = self._table.label_of(life)
             self._metrics.leavings.inc({"source": source})
             self._log.write(UpstreamLeaving(upstream=name, source=source))
-            self._tell_soon()
+            self._send_digest()
 
-    def _tell(self, life: int, said: AnswerHead, answer: str, now: float) -> None:
+    def _log_notice(self, life: int, head: AnswerHead, purpose: str, now: float) -> None:
         state = self._table.by_life(life)
         list_at = self._list_at()
         rest = self._table.standings.of(life).rest
@@ -123,13 +120,13 @@
             UpstreamNotice(
                 upstream=self._table.label_of(life),
                 life=f"{life:x}",
-                answer=answer,
-                status=said.status,
-                list_says="nothing" if state is None else LISTED_AS[state.listed.leaving],
+                answer=purpose,
+                status=head.status,
+                list_says="nothing" if state is None else STATE_BY_LEAVING[state.listed.leaving],
                 list_age=-1.0 if list_at is None else round(now - list_at, 3),
-                leaves=said.notice.leaves,
-                rest=min(LONGEST_TOLD, said.notice.rest),
-                until=0.0 if rest is None else round(min(LONGEST_TOLD, rest.until), 3),
-                odd=said.notice.odd[:MAX_LOGGED_CHARACTERS],
+                leaves=head.notice.leaves,
+                rest=min(MAX_LOGGED_SECONDS, head.notice.rest),
+                until=0.0 if rest is None else round(min(MAX_LOGGED_SECONDS, rest.until), 3),
+                odd=head.notice.odd[:MAX_LOGGED_CHARACTERS],
             )
         )
--- a/pondpin/relay/upstreams/probe.py
+++ b/pondpin/relay/upstreams/probe.py
@@ -1,4 +1,4 @@
-"""Finds ejected upstreams whose liveness is to be asked before they get requests again."""
+"""Liveness probes of ejected upstreams."""
 
 from collections.abc import Callable, Sequence
 from typing import TYPE_CHECKING
@@ -14,12 +14,12 @@
 if TYPE_CHECKING:
     from pondpin.relay.upstreams.prober import Prober
 
-# Twice the time between the steps of the other controllers, with which its own coincide.
+# Twice the period of the other controllers, with which it coincides.
 CHECK_SECONDS = 2 * PERIOD_SECONDS
 
 
 class ProbeController(Controller):
-    """Has each ejected upstream probed once its time is over."""
+    """Probes ejected upstreams before they get requests again."""
 
     period = CHECK_SECONDS
 
@@ -29,27 +29,27 @@
         publication: Publication,
         prober: "Callable[[], Prober]",
         clock: Clock,
-        shut: Callable[[], Sequence[UpstreamState]] = lambda: (),
+        recheck_due: Callable[[], Sequence[UpstreamState]] = lambda: (),
     ) -> None:
-        """shut: those that take nothing at all, and are to be asked whether they still do."""
+        """recheck_due: upstreams with a limit of 0 that are due for a recheck."""
         super().__init__()
         self._table = table
         self._publication = publication
         self._prober = prober
         self._clock = clock
-        self._shut = shut
+        self._recheck_due = recheck_due
 
     async def step(self) -> None:
-        """Probe those that are due, at the same time."""
+        """Probe all upstreams that are due, concurrently."""
         now = self._clock()
         configuration = self._publication.configuration
         due = [state for state in self._table.by_id.values() if is_probe_due(state, now)]
-        due += [state for state in self._shut() if state not in due]
+        due += [state for state in self._recheck_due() if state not in due]
         if configuration is not None and due:
             await self._prober().probe(due, configuration)
 
 
 def is_probe_due(state: UpstreamState, now: float) -> bool:
     """Whether an ejected upstream may be probed."""
-    is_silent = state.bar(now) in (Bar.LEAVES, Bar.RESTS)
-    return state.needs_probe and not is_silent and not state.health.is_ejected(now)
+    is_barred = state.bar(now) in (Bar.LEAVES, Bar.RESTS)
+    return state.needs_probe and not is_barred and not state.health.is_ejected(now)
--- a/pondpin/relay/upstreams/state.py
+++ b/pondpin/relay/upstreams/state.py
@@ -1,4 +1,4 @@
-"""One life of an upstream as this instance knows it: health, own and peers' work."""
+"""State of one life of an upstream: health, own work and work of peers."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
@@ -27,16 +27,15 @@
 if TYPE_CHECKING:
     from pondpin.relay.upstreams.long_prefills import ReceivedPrefill
 
-# What an upstream told of its load in an answer counts for so many seconds.
-TOLD_LOAD_SECONDS = 0.5
-# A stream that is silent for so long after the known reading shows that its engine reads a prompt
-# that no digest has named yet.
+# Lifetime of a load that an upstream reported in an answer.
+REPORTED_LOAD_SECONDS = 0.5
+# A stream silent this long after the forecast end of all known prefills reveals an unreported one.
 OWN_SILENCE_SECONDS = 0.15
 PEER_SILENCE_SECONDS = 0.3
-PEER_SILENCE_COUNTS_SECONDS = 0.6
-# However long it was silent: the longest parts are read in 4 s or so.
-MOST_SILENCE_SECONDS = 2.0
-# Upstreams that fail requests at this rate are avoided: four in a row, or nearly half of many.
+PEER_SILENCE_MAX_AGE_SECONDS = 0.6
+# Bound of the estimate: the longest parts take about 4 s.
+MAX_SILENCE_SECONDS = 2.0
+# Upstreams with this failure rate are avoided: four failures in a row, or nearly half of many.
 FAILURE_WEIGHT = 0.15
 FAILING_RATE = 0.4
 FAILURE_HALF_LIFE_SECONDS = 4.0
@@ -44,14 +43,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FailureRate:
-    """The share of requests that failed lately; without requests it is forgotten."""
+    """Share of recent requests that failed; decays without requests."""
 
     rate: float = 0.0
-    noted_at: float = 0.0
+    updated_at: float = 0.0
 
     def current(self, now: float) -> float:
-        """The share as it counts now."""
-        age = max(0.0, now - self.noted_at)
+        """The decayed share."""
+        age = max(0.0, now - self.updated_at)
         return self.rate * float(0.5 ** (age / FAILURE_HALF_LIFE_SECONDS))
 
     def record(self, failed: bool, now: float) -> "FailureRate":
@@ -62,14 +61,14 @@
 
 @dataclass
 class UpstreamState:
-    """One life of an upstream; what is known of it ends with that life.
+    """State of one life of an upstream.
 
-    ended: a later life has taken its place, so nothing more will come from this one.
+    ended: a later life has replaced it, so it answers no more.
     """
 
     listed: ListedUpstream
     order: int = 0
-    # What its life said of itself; other states of the same life share it.
+    # Shared by all states of the same life.
     standing: Standing = field(default_factory=Standing)
     ended: bool = False
     detects_silence: bool = True
@@ -85,7 +84,7 @@
     report_at: float = float("-inf")
     work_by_key: dict[int, Work] = field(default_factory=dict)
     peer_work_by_instance: dict[str, PeerWork] = field(default_factory=dict)
-    # Parts of long prompts that instances told of which may be in no digest here.
+    # Announced parts of long prompts, also those that are in a digest.
     peer_prefills_by_group: "dict[int, ReceivedPrefill]" = field(default_factory=dict)
 
     @property
@@ -95,51 +94,49 @@
 
     @property
     def life(self) -> int:
-        """The number of this life among instances."""
+        """The number of this life on all instances."""
         return self.listed.life
 
     @property
     def leaving(self) -> bool:
-        """Whether its life is known to leave."""
+        """Whether this life is known to be shutting down."""
         return self.standing.leaving is not None
 
     @property
     def is_limited(self) -> bool:
-        """Whether it takes requests by permit only: it named a limit for all instances."""
-        word = self.standing.limit
-        return word is not None and word.limit is not None
+        """Whether it has set a limit for all instances, so that requests need permits."""
+        stated = self.standing.limit
+        return stated is not None and stated.limit is not None
 
     @property
     def limit(self) -> float:
-        """The requests a second that it takes from all instances, -1 where it names none."""
-        word = self.standing.limit
-        return -1.0 if word is None or word.limit is None else word.limit
+        """Its limit in requests/s of all instances, -1 without one."""
+        stated = self.standing.limit
+        return -1.0 if stated is None or stated.limit is None else stated.limit
 
     def bar(self, now: float) -> Bar:
-        """Why nothing new may be sent there by its own word, or the list's that it leaves."""
+        """Why it must not get new requests: it leaves, rests or returns from a rest."""
         return self.standing.bar(now, self.own_in_flight if self.standing.rest is not None else 0)
 
     def is_usable(self, now: float) -> bool:
-        """Whether new work may go there."""
+        """Whether it may get new work."""
         return not self.bar(now) and self.looks_healthy(now)
 
     def looks_healthy(self, now: float) -> bool:
-        """Whether it is neither ejected nor suspected; of all that aren't some are used all the
-        same.
-        """
+        """Whether it is neither ejected nor suspected."""
         if self.needs_probe:
             return False
         return not self.health.is_ejected(now) and now >= self.suspected_until
 
     def in_flight(self, now: float) -> int:
-        """Requests there, of this instance and of peers; what it told itself may be more."""
+        """Requests of all instances, or the load it reported if that is more."""
         known = self.own_in_flight + sum(item.work.in_flight for item in self._peer_work(now))
-        if self.reported_load is not None and now - self.reported_load_at < TOLD_LOAD_SECONDS:
+        if self.reported_load is not None and now - self.reported_load_at < REPORTED_LOAD_SECONDS:
             return max(known, self.reported_load.running + self.reported_load.waiting)
         return known
 
     def is_busy(self, now: float) -> bool:
-        """Whether an engine's silence is explained by what it is known to do."""
+        """Whether an engine's known work explains its silence."""
         load = self.load(now)
         if load.long_prefill_seconds > 0 or load.in_flight > self.listed.slots:
             return True
@@ -147,114 +144,114 @@
 
     @property
     def own_in_flight(self) -> int:
-        """Requests of this instance there, each on a connection of its own."""
+        """Requests of this instance, each on its own connection."""
         return sum(1 for work in self.work_by_key.values() if work.decodes)
 
     def light_in_flight(self, now: float) -> int:
-        """Light streams there."""
+        """Light streams of all instances."""
         own = sum(1 for work in self.work_by_key.values() if work.light and work.decodes)
         return own + sum(item.work.light for item in self._peer_work(now))
 
     def load(self, now: float) -> EngineLoad:
-        """The upstream as an engine."""
+        """Its load as an engine, for forecasts."""
         tokens = self._unknown_tokens(now)
         sums: dict[int, tuple[int, float]] = {}
         for work in self.work_by_key.values():
             tokens += work.tokens
             if work.decodes and work.has_first_event:
                 add_decode_streams(sums, round(work.gap_target * MS_PER_SECOND), 1, work.weight)
-        for item in self._peer_work(now):
-            tokens += item.work.tokens
-            for told in item.work.decode_streams:
-                add_decode_streams(sums, told.gap_target, told.count, told.weight / WEIGHT_SCALE)
-        writers = tuple(
-            DecodeStreams(gap / MS_PER_SECOND, count, worth) for gap, (count, worth) in sums.items()
+        for peer in self._peer_work(now):
+            tokens += peer.work.tokens
+            for entry in peer.work.decode_streams:
+                add_decode_streams(sums, entry.gap_target, entry.count, entry.weight / WEIGHT_SCALE)
+        decode_streams = tuple(
+            DecodeStreams(gap / MS_PER_SECOND, count, weight)
+            for gap, (count, weight) in sums.items()
         )
-        reads = self._reads(now)
-        end = max(now, prefills_end(reads))
+        prefills = self._prefills(now)
+        end = max(now, prefills_end(prefills))
         return EngineLoad(
             in_flight=self.in_flight(now),
-            prefill_seconds=max(end - now, self.unexplained_silence(reads, now)),
+            prefill_seconds=max(end - now, self.unexplained_silence(prefills, now)),
             pending=tuple(
-                PendingPrefill(end - read.since, read.target, read.weight, read.group, read.parts)
-                for read in reads
+                PendingPrefill(end - item.since, item.target, item.weight, item.group, item.parts)
+                for item in prefills
             ),
             tokens=tokens,
-            decode_streams=writers,
-            long_prefill_seconds=long_prefills_end(reads, end, now) - now,
+            decode_streams=decode_streams,
+            long_prefill_seconds=long_prefills_end(prefills, end, now) - now,
         )
 
-    def unexplained_silence(self, reads: Sequence[Prefill], now: float) -> float:
-        """Seconds for which a stream here has been silent past what is known to be read.
+    def unexplained_silence(self, prefills: Sequence[Prefill], now: float) -> float:
+        """Seconds for which a stream has been silent beyond the end of the known prefills.
 
-        Something unheard is read there, probably for as long again. Known here of own streams and
-        of what peers said of theirs a moment ago; a part of a prompt may be read and its stream
-        still wait for other parts, so parts tell nothing.
+        The engine then runs an unreported prefill, which probably lasts as long again. Divided
+        prompts don't count: their streams also wait for other parts.
         """
         if not self.detects_silence:
             return 0.0
         longest = 0.0
         if any(work.awaits_first_event for work in self.work_by_key.values()):
-            longest = now - prefills_end(reads) - OWN_SILENCE_SECONDS
+            longest = now - prefills_end(prefills) - OWN_SILENCE_SECONDS
         for item in self._peer_work(now):
-            if now - item.made_at > PEER_SILENCE_COUNTS_SECONDS:
+            if now - item.made_at > PEER_SILENCE_MAX_AGE_SECONDS:
                 continue
-            for read in item.work.prefills:
-                if read.parts == 1:
-                    silent = (read.age - read.duration) / MS_PER_SECOND
+            for prefill in item.work.prefills:
+                if prefill.parts == 1:
+                    silent = (prefill.age - prefill.duration) / MS_PER_SECOND
                     longest = max(longest, silent - PEER_SILENCE_SECONDS)
-        return min(MOST_SILENCE_SECONDS, longest)
+        return min(MAX_SILENCE_SECONDS, longest)
 
     def prefill_end(self, now: float) -> float:
-        """When the reading that is known of should be over."""
-        return prefills_end(self._reads(now))
+        """When the known prefills should be over."""
+        return prefills_end(self._prefills(now))
 
-    def _reads(self, now: float) -> list[Prefill]:
-        reads = [work.prefill for work in self.work_by_key.values() if not work.has_first_event]
-        for item in self._peer_work(now):
-            reads += [
+    def _prefills(self, now: float) -> list[Prefill]:
+        prefills = [work.prefill for work in self.work_by_key.values() if not work.has_first_event]
+        for peer in self._peer_work(now):
+            prefills += [
                 Prefill(
-                    item.made_at - read.age / MS_PER_SECOND,
-                    read.duration / MS_PER_SECOND,
-                    read.target / MS_PER_SECOND,
-                    read.weight / WEIGHT_SCALE,
-                    read.group,
-                    read.parts,
+                    peer.made_at - item.age / MS_PER_SECOND,
+                    item.duration / MS_PER_SECOND,
+                    item.target / MS_PER_SECOND,
+                    item.weight / WEIGHT_SCALE,
+                    item.group,
+                    item.parts,
                 )
-                for read in item.work.prefills
+                for item in peer.work.prefills
             ]
         if self.peer_prefills_by_group:
-            known = {read.group for read in reads}
-            reads += [
-                heard.prefill for heard in self._heard(now) if heard.prefill.group not in known
+            known = {item.group for item in prefills}
+            prefills += [
+                part.prefill for part in self._peer_prefills(now) if part.prefill.group not in known
             ]
-        return reads
+        return prefills
 
-    def _heard(self, now: float) -> "list[ReceivedPrefill]":
-        return [heard for heard in self.peer_prefills_by_group.values() if now < heard.expires_at]
+    def _peer_prefills(self, now: float) -> "list[ReceivedPrefill]":
+        return [part for part in self.peer_prefills_by_group.values() if now < part.expires_at]
 
     def _unknown_tokens(self, now: float) -> int:
-        """Memory held by long prompts that no digest has told of."""
+        """Tokens of announced long prompts that no digest contains."""
         if not self.peer_prefills_by_group:
             return 0
         known = {work.group for work in self.work_by_key.values()}
         for item in self._peer_work(now):
-            known |= {read.group for read in item.work.prefills}
-        heard = self._heard(now)
-        return sum(item.tokens for item in heard if item.prefill.group not in known)
+            known |= {prefill.group for prefill in item.work.prefills}
+        received = self._peer_prefills(now)
+        return sum(item.tokens for item in received if item.prefill.group not in known)
 
     def record_success(self, now: float) -> None:
-        """It answered."""
+        """Record an answered request."""
         self.health = note_success(self.health, now)
         self.failure_rate = self.failure_rate.record(False, now)
 
     def record_probe_passed(self) -> None:
-        """It was ejected and answered its liveness check."""
+        """Record a passed liveness check after an ejection."""
         self.needs_probe = False
         self.health = replace(self.health, failures=0)
 
     def record_prefill_end(self, key: int, now: float) -> None:
-        """A reading is through: those behind it can't have begun before."""
+        """Record the end of a prefill, the earliest start of those queued behind it."""
         done = self.work_by_key.get(key)
         if done is None or done.has_first_event:
             return
@@ -264,7 +261,7 @@
                 work.since = now
 
     def digest(self, now: float) -> WorkDigest | None:
-        """This instance's work there, None when there is none."""
+        """This instance's work on it, if any."""
         if not self.work_by_key:
             return None
         sums: dict[int, tuple[int, float]] = {}
@@ -290,8 +287,8 @@
                 if not work.has_first_event
             ),
             decode_streams=tuple(
-                DecodeStreamsDigest(gap, count, round(worth * WEIGHT_SCALE))
-                for gap, (count, worth) in sums.items()
+                DecodeStreamsDigest(gap, count, round(weight * WEIGHT_SCALE))
+                for gap, (count, weight) in sums.items()
             ),
         )
 
@@ -301,6 +298,6 @@
 
 
 def release_id(state: UpstreamState) -> int:
-    """A number for the software that an upstream runs; 0 when it doesn't say."""
+    """A hash of the software release of an upstream, 0 if unknown."""
     release = state.listed.release
     return xxhash.xxh32_intdigest(release.encode()) if release else 0
--- a/pondpin/relay/upstreams/table.py
+++ b/pondpin/relay/upstreams/table.py
@@ -1,4 +1,4 @@
-"""The upstreams as this instance knows them: listing, lives, leaving, peers' work."""
+"""Table of upstreams: list entries, lives, shutdowns and work of peers."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Iterable, Iterator
@@ -18,21 +18,21 @@
 if TYPE_CHECKING:
     from pondpin.relay.upstreams.long_prefills import LongPrefill
 
-# A peer's word on its work counts for so many seconds; digests come several times a second.
+# Lifetime of a peer's digest of its work; digests arrive several times a second.
 PEER_LOAD_SECONDS = 1.5
-# It is summed up anew after this: a twentieth of the time that it counts elsewhere.
+# Lifetime of the cached loads of this data centre.
 OWN_LOAD_SECONDS = 0.1
-# An upstream that was heard this lately proves that its data centre can be reached.
+# A data centre is reachable for this long after an answer of one of its upstreams.
 SEEN_SECONDS = 0.6
-# Of more leaving lives than a digest holds others are told each second.
-TURN_SECONDS = 1.0
-# Ended lives that are remembered for as long as requests that they had may hold leases.
-KEPT_ENDED = 1000
+# Period in which leaving lives that don't all fit in a digest are rotated.
+ROTATION_SECONDS = 1.0
+# Ended lives to remember, as their requests may still hold leases.
+MAX_ENDED_LIVES = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class Restart:
-    """A later life of an upstream was listed."""
+    """The replacement of a listed life by a later one."""
 
     earlier: ListedUpstream
     later: ListedUpstream
@@ -40,17 +40,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ListChanges:
-    """What a reading of the list tells: ids that newly leave or are gone, and later lives."""
+    """Changes by a list update: ids that are now leaving or removed, and later lives."""
 
     leaving: tuple[str, ...]
     restarted: tuple[Restart, ...]
 
 
 class UpstreamTable:
-    """All upstreams by their id, each with its latest life.
+    """All upstreams by id, each with its latest life.
 
-    Leaving is sticky for a life; a lapsed entry may come back. Peers name lives, not ids: what
-    they tell of an earlier or a later one doesn't count for the one that is listed here.
+    Leaving is final for a life, but a removed entry may return. Messages of peers name lives, so
+    those on an earlier or later life don't affect the listed one.
     """
 
     def __init__(self, data_center: str, without: frozenset[Mechanism] = frozenset()) -> None:
@@ -58,29 +58,27 @@
         self._without = without
         self.by_id: dict[str, UpstreamState] = {}
         self._by_life: dict[int, UpstreamState] = {}
-        # Lives whose place a later one took, those found last at the end.
         self._ended: OrderedDict[int, None] = OrderedDict()
         self._ids_by_service: dict[str, list[str]] = {}
-        # Lives in the order in which they were found to leave.
+        # Leaving lives, the most recent last.
         self._left: dict[int, None] = {}
-        # The listed ones of them as they are told, None when that is to be worked out anew.
-        self._leaving_told: tuple[int, ...] | None = None
+        # The listed ones in digest order, None if outdated.
+        self._leaving_cache: tuple[int, ...] | None = None
         self.standings: Standings[int] = Standings(lambda life: life in self._by_life)
         self.silent_data_centers: frozenset[str] = frozenset()
-        # In a large fleet only the peers of the own data centre tell of their work.
+        # False in a large fleet: only peers in this data centre do.
         self.all_peers_report_work = True
         self.data_center_loads = DataCenterLoads(data_center)
         self._own_loads: tuple[DataCenterLoad, ...] = ()
         self._own_loads_at = float("-inf")
-        # The parts that a peer's last word on its long prompts named: lives and groups.
-        self._heard_by_peer: dict[str, tuple[tuple[int, int], ...]] = {}
-        # The lives that a peer's last digest named.
+        # Lives and groups of the parts in a peer's last message.
+        self._prefills_by_peer: dict[str, tuple[tuple[int, int], ...]] = {}
         self._lives_by_peer: dict[str, tuple[int, ...]] = {}
 
     def apply_list(
         self, listed: Iterable[ListedUpstream], missing: Iterable[str], now: float = 0.0
     ) -> ListChanges:
-        """Take a reading of the list."""
+        """Apply a list update; missing: removed ids."""
         leaving: list[str] = []
         restarted: list[Restart] = []
         for name in missing:
@@ -91,26 +89,24 @@
             if known is not None and item.is_before(known.listed):
                 continue
             if known is not None and known.listed.is_before(item):
-                self._end(known)
+                self._mark_ended(known)
                 restarted.append(Restart(known.listed, item))
                 known = None
             if known is None:
-                known = self._begin(item)
+                known = self._add_life(item)
             known.listed = item
             if item.leaving and self.mark_leaving(known.life, "list", now):
                 leaving.append(item.id)
-        self._sort()
+        self._index()
         return ListChanges(tuple(leaving), tuple(restarted))
 
-    def _end(self, state: UpstreamState) -> None:
-        """A later life has taken the place of this one."""
+    def _mark_ended(self, state: UpstreamState) -> None:
         state.ended = True
         self._ended[state.life] = None
-        while len(self._ended) > KEPT_ENDED:
+        while len(self._ended) > MAX_ENDED_LIVES:
             self._ended.popitem(last=False)
 
-    def _begin(self, item: ListedUpstream) -> UpstreamState:
-        """A life that nothing is known of but whether it leaves."""
+    def _add_life(self, item: ListedUpstream) -> UpstreamState:
         order = xxhash.xxh32_intdigest(item.id.encode())
         state = UpstreamState(
             item,
@@ -123,74 +119,72 @@
         return state
 
     def mark_leaving(self, life: int, source: str = "", now: float = 0.0) -> bool:
-        """Some source says that a life of an upstream leaves; True when that is news.
-
-        It holds for the life whatever its entry says or becomes. A life that doesn't say when it
-        began goes by its id.
-        """
+        """Mark a life as leaving, whatever its list entry says; True if it was not marked."""
         self.standings.of(life).note_leaving(source, now)
         if life in self._left:
             return False
         self._left[life] = None
-        self._leaving_told = None
+        self._leaving_cache = None
         if len(self._left) > KEPT_LIVES:
             del self._left[next(iter(self._left))]
         return True
 
     def has_ended(self, life: int) -> bool:
-        """Whether a life that was listed has had its place taken by a later one."""
+        """Whether a later life replaced this one in the list."""
         return life in self._ended
 
     def life_of_id(self, name: str) -> int:
-        """The life that goes by an id: the listed one, or one that doesn't say when it began."""
+        """The listed life of an id, or the life without a start time."""
         known = self.by_id.get(name)
         return life_of(name, None) if known is None else known.life
 
     def by_life(self, life: int) -> UpstreamState | None:
-        """A listed life by its number."""
+        """The state of a listed life."""
         return self._by_life.get(life)
 
     def is_in_service(self, state: UpstreamState) -> bool:
-        """Whether a life is listed and doesn't leave: if it ends now, that is not planned."""
+        """Whether a life is listed and not leaving: its end would be unplanned."""
         return self._by_life.get(state.life) is state and not state.leaving
 
     def label_of(self, life: int) -> str:
-        """The id of a listed life, for logs; of another one its number."""
+        """For logs: the id of a listed life, the number of another."""
         state = self._by_life.get(life)
         return f"life {life:x}" if state is None else state.id
 
-    def newest_leaving(self, most: int) -> tuple[int, ...]:
-        """Listed lives that leave: those first of which the list doesn't say it, which nobody else
-        can tell to an instance that starts, then those found last.
+    def newest_leaving(self, limit: int) -> tuple[int, ...]:
+        """Listed lives that are leaving, the most recent first.
+
+        Those ready in the list come before: a starting instance knows them from peers only.
         """
-        return self._leaving_listed()[:most]
+        return self._listed_leaving()[:limit]
+
+    def rotated_leaving(self, limit: int, now: float) -> tuple[int, ...]:
+        """As newest_leaving, but if there are more, half of the result rotates.
 
-    def rotated_leaving(self, most: int, now: float) -> tuple[int, ...]:
-        """As newest_leaving; of more than can be told half are others at each turn, so that all are
-        told to an instance that starts: 100 lives in 6 s.
+        A starting instance thus gets all: 100 lives in 6 s.
         """
-        lives = self._leaving_listed()
-        if len(lives) <= most:
+        lives = self._listed_leaving()
+        if len(lives) <= limit:
             return lives
-        fixed, others = lives[: most // 2], lives[most // 2 :]
-        many = most - len(fixed)
-        start = int(now / TURN_SECONDS) * many % len(others)
-        return fixed + (others + others)[start : start + many]
+        fixed, others = lives[: limit // 2], lives[limit // 2 :]
+        count = limit - len(fixed)
+        start = int(now / ROTATION_SECONDS) * count % len(others)
+        return fixed + (others + others)[start : start + count]
 
-    def _leaving_listed(self) -> tuple[int, ...]:
-        if self._leaving_told is None:
+    def _listed_leaving(self) -> tuple[int, ...]:
+        if self._leaving_cache is None:
             listed = [life for life in reversed(self._left) if life in self._by_life]
             listed.sort(key=lambda life: self._by_life[life].listed.leaving)
-            self._leaving_told = tuple(listed)
-        return self._leaving_told
+            self._leaving_cache = tuple(listed)
+        return self._leaving_cache
 
     @property
     def leaving_lives(self) -> frozenset[int]:
-        """Lives that are known to leave."""
+        """All lives known to be leaving."""
         return frozenset(self._left)
 
     def of_service(self, service: str) -> list[UpstreamState]:
-        """The upstreams of a service, in the order that all instances share."""
+        """The upstreams of a service, in the same order on all instances."""
         return [self.by_id[name] for name in self._ids_by_service.get(service, ())]
 
     def candidates(
@@ -198,48 +192,50 @@
         service: str,
         now: float,
         tried: frozenset[int],
-        may_take: Callable[[UpstreamState], bool] = lambda state: True,
+        has_permit: Callable[[UpstreamState], bool] = lambda state: True,
     ) -> list[UpstreamState]:
-        """Those that may get work, without lives tried; when many look bad, looks are ignored.
+        """Upstreams that may get a request, without the lives tried.
 
-        A leaving or a rest is no look: it is never ignored, nor that a limited one has no permit.
-        may_take says whether a limited one has.
+        If none looks healthy, that is ignored, but never that one is leaving, rests, or has a limit
+        without has_permit.
         """
-        # Most have never said anything: 930 upstreams are looked through for each plan.
+        # is_blank is tested first, as each plan tests up to 930 upstreams.
         present = [
             item
             for item in self.of_service(service)
             if item.standing.is_blank
-            or (not item.bar(now) and (not item.is_limited or may_take(item)))
+            or (not item.bar(now) and (not item.is_limited or has_permit(item)))
         ]
-        fresh = [item for item in present if item.life not in tried] if tried else present
-        good = [item for item in fresh if item.looks_healthy(now)]
-        cut = self._cut_centers(now)
-        near = [item for item in good if item.listed.data_center not in cut] or good
+        untried = [item for item in present if item.life not in tried] if tried else present
+        healthy = [item for item in untried if item.looks_healthy(now)]
+        partitioned = self._partitioned_data_centers(now)
+        reachable = [
+            item for item in healthy if item.listed.data_center not in partitioned
+        ] or healthy
         if Mechanism.FAILING_RATE in self._without:
-            return near or fresh
-        sound = [item for item in near if item.failure_rate.current(now) < FAILING_RATE]
-        return sound or near or fresh
+            return reachable or untried
+        reliable = [item for item in reachable if item.failure_rate.current(now) < FAILING_RATE]
+        return reliable or reachable or untried
 
     def is_partitioned(self, state: UpstreamState, now: float) -> bool:
-        """Whether an upstream is probably out of reach with its whole data centre."""
-        return state.listed.data_center in self._cut_centers(now)
+        """Whether an upstream's data centre is probably unreachable."""
+        return state.listed.data_center in self._partitioned_data_centers(now)
 
-    def _cut_centers(self, now: float) -> set[str]:
-        """Silent data centres none of whose upstreams was heard lately."""
+    def _partitioned_data_centers(self, now: float) -> set[str]:
+        """Silent data centres without a recent answer of an upstream."""
         if not self.silent_data_centers:
             return set()
-        heard = {
+        reachable = {
             item.listed.data_center
             for item in self.by_id.values()
             if now - item.last_seen_at <= SEEN_SECONDS
         }
-        return set(self.silent_data_centers - heard)
+        return set(self.silent_data_centers - reachable)
 
     def update_peer_work(
-        self, instance: str, works: Iterable[WorkDigest], at: float, until: float
+        self, instance: str, works: Iterable[WorkDigest], made_at: float, expires_at: float
     ) -> None:
-        """Take a peer's work, good until until; what it does not name is idle."""
+        """Replace a peer's work by its digest."""
         if Mechanism.PEER_LOADS in self._without:
             return
         for life in self._lives_by_peer.pop(instance, ()):
@@ -250,36 +246,36 @@
         for work in works:
             state = self._by_life.get(work.life)
             if state is not None:
-                state.peer_work_by_instance[instance] = PeerWork(work, at, until)
+                state.peer_work_by_instance[instance] = PeerWork(work, made_at, expires_at)
                 lives.append(work.life)
         if lives:
             self._lives_by_peer[instance] = tuple(lives)
 
     def update_long_prefills(
-        self, instance: str, reads: "Iterable[LongPrefill]", now: float
+        self, instance: str, prefills: "Iterable[LongPrefill]", now: float
     ) -> None:
-        """Take an instance's word on its long prompts; those it names no more are over."""
+        """Replace an instance's long prefills by those in its message."""
         from pondpin.relay.upstreams.long_prefills import received_prefill
 
         if self._without & {Mechanism.PEER_LOADS, Mechanism.LONG_READS}:
             return
-        for life, group in self._heard_by_peer.pop(instance, ()):
+        for life, group in self._prefills_by_peer.pop(instance, ()):
             known = self._by_life.get(life)
             if known is not None:
                 known.peer_prefills_by_group.pop(group, None)
         parts = []
-        for told in reads:
-            heard = received_prefill(told, now)
-            for life in told.lives:
+        for announced in prefills:
+            received = received_prefill(announced, now)
+            for life in announced.lives:
                 state = self._by_life.get(life)
                 if state is not None:
-                    state.peer_prefills_by_group[told.group] = heard
-                    parts.append((life, told.group))
+                    state.peer_prefills_by_group[announced.group] = received
+                    parts.append((life, announced.group))
         if parts:
-            self._heard_by_peer[instance] = tuple(parts)
+            self._prefills_by_peer[instance] = tuple(parts)
 
     def own_long_prefills(self, now: float) -> "tuple[LongPrefill, ...]":
-        """The long prompts of this instance that are being read."""
+        """The unfinished long prefills of this instance."""
         from pondpin.relay.upstreams.long_prefills import collect_long_prefills
 
         works = (
@@ -290,9 +286,9 @@
         return collect_long_prefills(works, now)
 
     def own_data_center_loads(self, now: float) -> tuple[DataCenterLoad, ...]:
-        """The load of the own data centre's upstreams, by service, as a moment ago.
+        """The load of this data centre's upstreams by service.
 
-        Peers of other data centres ask for it some 15 times a second in a fleet of 195.
+        Cached, as peers request it about 15 times a second in a fleet of 195.
         """
         if not 0 <= now - self._own_loads_at < OWN_LOAD_SECONDS:
             self._own_loads = self._sum_own_loads(now)
@@ -315,7 +311,7 @@
         return tuple(loads)
 
     def record_failure(self, state: UpstreamState, now: float, certain: bool) -> bool:
-        """An upstream failed a request; True when that ejects it."""
+        """Record a failed request; True if that ejects the upstream."""
         state.failure_rate = state.failure_rate.record(True, now)
         if Mechanism.EJECTION in self._without:
             return False
@@ -326,9 +322,9 @@
         return ejected
 
     def lives_to_avoid(self, now: float) -> Iterator[tuple[int, float]]:
-        """Lives that this instance ejected, or that asked it for rest, and for how much longer.
+        """Lives that are ejected or rest here, with the remaining seconds.
 
-        A rest binds the instance that was asked; others go elsewhere first.
+        A rest binds only the instance that was asked; its peers prefer other upstreams.
         """
         for state in self.by_id.values():
             rest = state.standing.rest
@@ -338,13 +334,13 @@
                 yield state.life, min(PEER_LOAD_SECONDS, rest.until - now)
 
     def suspect(self, life: int, until: float) -> None:
-        """A peer ejected a life of an upstream, or was asked for rest by it."""
+        """Suspect a life that a peer ejected or that asked it for a rest."""
         state = self._by_life.get(life)
         if state is not None and not state.work_by_key:
             state.suspected_until = max(state.suspected_until, until)
 
-    def _sort(self) -> None:
-        self._leaving_told = None
+    def _index(self) -> None:
+        self._leaving_cache = None
         self._by_life = {state.life: state for state in self.by_id.values()}
         grouped: dict[str, list[UpstreamState]] = {}
         for state in self.by_id.values():
@@ -358,7 +354,7 @@
 def isolation_candidates(
     states: list[UpstreamState], spent_releases: frozenset[int], now: float
 ) -> list[UpstreamState]:
-    """Where a request that may end its upstream hurts the fewest others."""
+    """Upstreams where a request that may crash them affects the fewest others."""
     if spent_releases:
         states = [state for state in states if release_id(state) not in spent_releases]
     fewest = min((state.in_flight(now) for state in states), default=0)
--- a/pondpin/relay/upstreams/work.py
+++ b/pondpin/relay/upstreams/work.py
@@ -1,28 +1,28 @@
-"""Work of an instance on an upstream, how it is told to peers, and when its reading ends."""
+"""Work of an instance on an upstream, its digest for peers, and when its prefills end."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
 import msgspec
 
-# A reading of this length keeps other long ones from its engine: shorter ones cost less than
-# waiting for them would.
+# A prefill of this duration keeps other long ones off its engine: queueing behind a shorter one
+# costs less than waiting for its end.
 LONG_PREFILL_SECONDS = 0.08
-# One that should be over and is not may end at any time, up to this multiple of its length and
-# some more; after that its request is probably gone.
+# An overdue prefill may end at any time, until this multiple of its duration plus the slack; then
+# its request is probably gone.
 OVERDUE_SECONDS = 0.05
 OVERDUE_FACTOR = 2.0
 OVERDUE_SLACK_SECONDS = 0.5
-# Peers are told again when a reading is overdue by this.
-OVERDUE_NEWS_MS = 300
+# A prefill overdue by this causes a new digest.
+OVERDUE_DIGEST_MS = 300
 MS_PER_SECOND = 1000.0
 WEIGHT_SCALE = 100.0
-# A prompt that is read for so long makes light streams behind it late: every instance hears of it.
+# A prefill of this duration makes light streams behind it late, so it is sent to all instances.
 LONG_PREFILL_SECONDS = 0.3
 
 
 class DecodeStreamsDigest(msgspec.Struct, frozen=True, array_like=True):
-    """Writers with the same pause target (ms); worth is in hundredths."""
+    """Streams with the same gap target (ms); weight is their sum in hundredths."""
 
     gap_target: int
     count: int
@@ -30,10 +30,10 @@
 
 
 class PrefillDigest(msgspec.Struct, frozen=True, array_like=True):
-    """A prompt, or a part of one, that is being read: its age and its whole length in ms.
+    """An unfinished prefill of a prompt or a part of one; times are in ms.
 
-    target is that of its first event in ms, worth is in hundredths. All parts of a prompt have
-    the same group, and parts is how many there are.
+    target is for the first event, weight is in hundredths. All parts of a prompt have the same
+    group; parts is their number.
     """
 
     age: int
@@ -45,8 +45,8 @@
 
     @property
     def is_overdue(self) -> bool:
-        """Whether it is silent for longer than its reading and a pass explain."""
-        return self.age > self.duration + OVERDUE_NEWS_MS
+        """Whether it is silent for longer than its prefill and a pass explain."""
+        return self.age > self.duration + OVERDUE_DIGEST_MS
 
 
 class WorkDigest(msgspec.Struct, frozen=True, array_like=True):
@@ -64,7 +64,7 @@
 class Work:
     """A request, or a part of a prompt, of this instance on an upstream.
 
-    reading: seconds of reading at its start; writes is False for a part read for another engine.
+    prefill_seconds: forecast at its start; decodes: False for a helper's part of a prompt.
     """
 
     prefill_seconds: float
@@ -81,12 +81,12 @@
 
     @property
     def awaits_first_event(self) -> bool:
-        """Whether it is a whole prompt, of which nothing has come yet."""
+        """Whether it is an undivided prompt without a first event."""
         return self.decodes and self.parts == 1 and not self.has_first_event
 
     @property
     def prefill(self) -> "Prefill":
-        """Its reading."""
+        """Its prefill."""
         return Prefill(
             self.since, self.prefill_seconds, self.target, self.weight, self.group, self.parts
         )
@@ -94,9 +94,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Prefill:
-    """Reading of length seconds that could begin at since, by this process's clock.
+    """A prefill that can start at since, by the local clock.
 
-    target and worth are those of the request whose prompt it is.
+    target and weight are those of its request.
     """
 
     since: float
@@ -107,27 +107,27 @@
     parts: int
 
 
-def prefills_end(reads: Iterable[Prefill]) -> float:
-    """When an engine that reads one after the other is through."""
+def prefills_end(prefills: Iterable[Prefill]) -> float:
+    """When an engine has done all prefills, one after the other."""
     end = 0.0
-    for read in sorted(reads, key=lambda item: item.since):
-        end = max(end, read.since) + read.duration
+    for prefill in sorted(prefills, key=lambda item: item.since):
+        end = max(end, prefill.since) + prefill.duration
     return end
 
 
-def long_prefills_end(reads: Iterable[Prefill], end: float, now: float) -> float:
-    """When no long reading is left on an engine that is through at end; now when there is none."""
+def long_prefills_end(prefills: Iterable[Prefill], end: float, now: float) -> float:
+    """When the last long prefill ends, now without any; end: when all prefills do."""
     limit = now
-    for read in reads:
-        if read.duration >= LONG_PREFILL_SECONDS:
-            latest = read.since + OVERDUE_FACTOR * read.duration + OVERDUE_SLACK_SECONDS
+    for prefill in prefills:
+        if prefill.duration >= LONG_PREFILL_SECONDS:
+            latest = prefill.since + OVERDUE_FACTOR * prefill.duration + OVERDUE_SLACK_SECONDS
             limit = max(limit, min(latest, max(end, now + OVERDUE_SECONDS)))
     return limit
 
 
 @dataclass(frozen=True, slots=True)
 class PeerWork:
-    """A peer's digest of its work on an upstream; made at at, it counts until until."""
+    """A peer's digest of its work on an upstream."""
 
     work: WorkDigest
     made_at: float
@@ -135,8 +135,8 @@
 
 
 def add_decode_streams(
-    sums: dict[int, tuple[int, float]], gap: int, count: int, worth: float
+    sums: dict[int, tuple[int, float]], gap: int, count: int, weight: float
 ) -> None:
-    """Add writers to the sums by their pause target in ms."""
-    known_count, known_worth = sums.get(gap, (0, 0.0))
-    sums[gap] = (known_count + count, known_worth + worth)
+    """Add streams to the counts and weights by gap target in ms."""
+    known_count, known_weight = sums.get(gap, (0, 0.0))
+    sums[gap] = (known_count + count, known_weight + weight)
