--- a/pondpin/relay/upstreams/leases.py
+++ b/pondpin/relay/upstreams/leases.py
@@ -1,7 +1,7 @@
-"""Memory leases for prompts that lie on several engines: all or nothing, renewed while in use.
+"""Memory leases for prompts on several engines: all or none, renewed while in use.
 
-A lease is short and renewed, so the memory of a holder that died is back soon. Nothing is
-waited for while leases are held, so groups of several instances can't block each other.
+Leases are short, so the memory of a dead holder is soon free again. No request waits while it holds
+leases, so requests of several instances can't deadlock.
 """
 
 import asyncio
@@ -15,16 +15,16 @@
 from pondpin.relay.ports import Hear, LeaseAnswer, LeasePort, PartPlace
 from pondpin.relay.upstreams.notice_handler import HeadHandler, SentRequest, ignore_head
 
-# A dead holder's memory is free again after this: under the 4 s that the deployments allow.
+# Time until the memory of a dead holder is free again; the deployments allow 4 s.
 HOLD_SECONDS = 3.4
-# Two renewals may be lost before a lease lapses.
+# A lease survives two lost renewals.
 RENEW_SECONDS = 1.0
-ORDER_SECONDS = 0.4
-# Memory whose prompt has shown nothing for so long is let go, under the 9 s that the deployments
-# allow to memory that no request uses: an engine may take a request and never run it. A prompt that
-# is forecast to be read for longer has a quarter more and a second.
+CALL_TIMEOUT_SECONDS = 0.4
+# Leases of a prompt without a first event end after this: an engine may accept a request and never
+# run it, and the deployments allow 9 s for memory that no request uses. If a longer prefill is
+# forecast, they end after the forecast times PREFILL_FACTOR plus PREFILL_SLACK_SECONDS.
 UNUSED_SECONDS = 8.2
-READING_TIMES = 1.25
+PREFILL_FACTOR = 1.25
 PREFILL_SLACK_SECONDS = 1.0
 RELEASE_TRIES = 3
 
@@ -39,7 +39,7 @@
 
 
 class LeaseManager:
-    """Takes, renews and returns groups of leases."""
+    """Acquires, renews and releases groups of leases."""
 
     def __init__(
         self,
@@ -47,31 +47,33 @@
         prefix: str,
         log: EventLog,
         has_ended: Callable[[int], bool] = lambda life: False,
-        listen: HeadHandler = ignore_head,
-        note_sent: Callable[[int], None] = lambda life: None,
+        on_head: HeadHandler = ignore_head,
+        on_sent: Callable[[int], None] = lambda life: None,
     ) -> None:
-        """has_ended: whether a later life has taken the place of a life; note_sent: something goes
-        to a life that counts for a limit of it.
+        """has_ended: whether a later life replaced a life; on_sent: is called with the life before
+        each call, since calls count towards its limit.
         """
-        self._note_sent = note_sent
+        self._on_sent = on_sent
         self._has_ended = has_ended
-        self._listen = listen
+        self._on_head = on_head
         self._port = port
         self._prefix = prefix
         self._log = log
         self._numbers = itertools.count(1)
         self._tasks: set[asyncio.Task[None]] = set()
-        self.orders = 0
+        self.calls_sent = 0
 
     async def acquire(
         self, request: str, places: Sequence[PartPlace], tokens: int
     ) -> tuple[LeaseGroup | None, tuple[PartPlace, ...]]:
-        """Lease tokens at every place, or at none; also the places that did not give it."""
+        """Lease tokens at every place or at none; return the leases and the places that failed."""
         name = f"{self._prefix}-{next(self._numbers)}"
-        named = tuple(replace(place, lease=f"{name}-{index}") for index, place in enumerate(places))
-        group = LeaseGroup(request, named, tokens)
-        answers = await asyncio.gather(*(self._reserve(place, tokens) for place in named))
-        failed = tuple(place for place, held in zip(named, answers, strict=True) if not held)
+        leased = tuple(
+            replace(place, lease=f"{name}-{index}") for index, place in enumerate(places)
+        )
+        group = LeaseGroup(request, leased, tokens)
+        answers = await asyncio.gather(*(self._reserve(place, tokens) for place in leased))
+        failed = tuple(place for place, held in zip(leased, answers, strict=True) if not held)
         if not failed:
             return group, ()
         names = ",".join(place.upstream for place in failed)
@@ -80,26 +82,28 @@
         return None, failed
 
     async def keep_alive(
-        self, group: LeaseGroup, reading: float, has_begun: Callable[[], bool]
+        self, group: LeaseGroup, first_event_seconds: float, has_begun: Callable[[], bool]
     ) -> None:
-        """Renew until cancelled, or until the prompt should long have begun its answer.
+        """Renew the leases until cancelled, or until the first event is long overdue.
 
-        reading: the forecast of its first event in seconds; has_begun: whether that came.
+        first_event_seconds: forecast time to the first event; has_begun: whether it has come.
         """
         now = asyncio.get_running_loop().time
-        limit = now() + max(UNUSED_SECONDS, READING_TIMES * reading + PREFILL_SLACK_SECONDS)
+        limit = now() + max(
+            UNUSED_SECONDS, PREFILL_FACTOR * first_event_seconds + PREFILL_SLACK_SECONDS
+        )
         while True:
             await asyncio.sleep(RENEW_SECONDS)
             hold = HOLD_SECONDS if has_begun() else min(HOLD_SECONDS, limit - now())
             if hold <= 0:
                 self._log.write(LeasesEnded(request=group.request, outcome="unused", detail=""))
                 return
-            # A later life at that place holds nothing of this prompt: it would only lose memory.
-            standing = [place for place in group.places if not self._has_ended(place.life)]
-            await asyncio.gather(*(self._reserve(place, group.tokens, hold) for place in standing))
+            # A later life at that place has nothing of this prompt: a lease would waste its memory.
+            current = [place for place in group.places if not self._has_ended(place.life)]
+            await asyncio.gather(*(self._reserve(place, group.tokens, hold) for place in current))
 
     def release(self, group: LeaseGroup) -> None:
-        """Give all back, in a task of its own."""
+        """Release all leases in background tasks."""
         for place in group.places:
             if self._has_ended(place.life):
                 continue
@@ -108,12 +112,12 @@
             task.add_done_callback(self._tasks.discard)
 
     async def wait_released(self) -> None:
-        """Wait until what is being given back is back or lapses."""
+        """Wait until all pending releases are done or given up."""
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _reserve(self, place: PartPlace, tokens: int, hold: float = HOLD_SECONDS) -> bool:
-        self.orders += 1
-        self._note_sent(place.life)
+        self.calls_sent += 1
+        self._on_sent(place.life)
         try:
             answer = await self._port.reserve(
                 place.host,
@@ -121,26 +125,30 @@
                 place.lease,
                 tokens,
                 hold,
-                ORDER_SECONDS,
-                self._hear(place),
+                CALL_TIMEOUT_SECONDS,
+                self._head_callback(place),
             )
         except CallFailedError:
             return False
         return answer is LeaseAnswer.HELD
 
-    def _hear(self, place: PartPlace) -> Hear:
-        asked_at = asyncio.get_running_loop().time()
-        asked = SentRequest(place.upstream, place.life, "lease", asked_at)
-        return lambda said: self._listen(asked, said)
+    def _head_callback(self, place: PartPlace) -> Hear:
+        sent_at = asyncio.get_running_loop().time()
+        request = SentRequest(place.upstream, place.life, "lease", sent_at)
+        return lambda head: self._on_head(request, head)
 
     async def _release(self, group: LeaseGroup, place: PartPlace) -> None:
         reason = ""
         for _ in range(RELEASE_TRIES):
-            self.orders += 1
-            self._note_sent(place.life)
+            self.calls_sent += 1
+            self._on_sent(place.life)
             try:
                 await self._port.release(
-                    place.host, place.port, place.lease, ORDER_SECONDS, self._hear(place)
+                    place.host,
+                    place.port,
+                    place.lease,
+                    CALL_TIMEOUT_SECONDS,
+                    self._head_callback(place),
                 )
                 return
             except CallFailedError as error:
--- a/pondpin/relay/upstreams/limit_handler.py
+++ b/pondpin/relay/upstreams/limit_handler.py
@@ -1,4 +1,4 @@
-"""Takes what upstreams say of their limits, and tells words of theirs that nobody reads."""
+"""Handling of the limits that upstreams state, and logging of their unknown headers."""
 
 from collections.abc import Callable
 
@@ -16,72 +16,72 @@
 )
 from pondpin.relay.upstreams.table import UpstreamTable
 
-# Words that nothing reads are told for so many lives and names.
+# Bound on logged pairs of a life and an unknown header or invalid value.
 MAX_UNKNOWN_HEADERS = 1000
 
 
 class LimitHandler:
-    """Notes and tells limits."""
+    """Records, logs and broadcasts limits."""
 
     def __init__(
-        self, table: UpstreamTable, log: EventLog, tell_peers: Callable[[int, float], None]
+        self, table: UpstreamTable, log: EventLog, broadcast: Callable[[int, float], None]
     ) -> None:
         self._table = table
         self._log = log
-        self._tell_peers = tell_peers
-        # Lives and names of words, or values, that were told as not understood.
-        self._told_odd: set[tuple[int, str]] = set()
+        self._broadcast = broadcast
+        # Lives and names of the unknown headers, or invalid limits, that were logged.
+        self._logged: set[tuple[int, str]] = set()
 
-    def handle_head(self, life: int, asked: SentRequest, said: AnswerHead, now: float) -> None:
-        """Take what an answer says of its upstream's limit, and tell words that nobody reads."""
-        self._tell_unknown(life, said)
-        self._hear_limit(life, asked, said, now)
+    def handle_head(self, life: int, request: SentRequest, head: AnswerHead, now: float) -> None:
+        """Apply the limit that an answer states, and log its unknown headers."""
+        self._log_unknown(life, head)
+        self._apply_limit(life, request, head, now)
 
-    def _hear_limit(self, life: int, asked: SentRequest, said: AnswerHead, now: float) -> None:
-        """Take what an answer says of a limit, also that it names none any more.
+    def _apply_limit(self, life: int, request: SentRequest, head: AnswerHead, now: float) -> None:
+        """Apply a stated limit, or lift the known one if an answer states none any more.
 
-        Only answers to requests prove the latter: whether others name it is not known. A limit of 0
-        lets none through, so there a liveness check's answer lifts it too, and the next request
-        shows whether that was right.
+        Only answers to requests lift a limit: whether other answers ever state it is unknown. A
+        limit of 0 lets no request through, so an answer to a liveness check lifts it too, and the
+        next request shows whether that was right.
         """
-        notice = said.notice
-        if notice.odd_limit and self._is_news(life, f"limit {notice.odd_limit}"):
+        notice = head.notice
+        if notice.odd_limit and self._should_log(life, f"limit {notice.odd_limit}"):
             standing = self._table.standings.of(life)
-            self._tell_limit(life, told_limit(standing.limit), asked.purpose, notice.odd_limit)
-        if notice.limit is None and not self._may_lift(life, asked, notice):
+            self._log_limit(life, told_limit(standing.limit), request.purpose, notice.odd_limit)
+        if notice.limit is None and not self._may_lift(life, request, notice):
             return
         before = told_limit(self._table.standings.of(life).limit)
-        word = LimitWord(notice.limit, asked.sent_at, now, ANSWER_SOURCE)
-        if hear_limit(self._table.standings, life, word, now):
-            self._tell_limit(life, before, asked.purpose)
-            self._tell_peers(life, now)
+        stated = LimitWord(notice.limit, request.sent_at, now, ANSWER_SOURCE)
+        if hear_limit(self._table.standings, life, stated, now):
+            self._log_limit(life, before, request.purpose)
+            self._broadcast(life, now)
 
-    def _may_lift(self, life: int, asked: SentRequest, notice: Notice) -> bool:
-        """Whether an answer that names no limit proves that none holds any more."""
+    def _may_lift(self, life: int, request: SentRequest, notice: Notice) -> bool:
+        """Whether an answer without a limit lifts the known limit."""
         known = self._table.standings.by_life.get(life)
         if notice.odd_limit or known is None or known.limit is None:
             return False
-        if asked.purpose == REQUEST:
+        if request.purpose == REQUEST:
             return True
-        return asked.purpose == LIVENESS_CHECK and known.limit.limit == 0
+        return request.purpose == LIVENESS_CHECK and known.limit.limit == 0
 
-    def _tell_limit(self, life: int, before: float, answer: str, odd: str = "") -> None:
-        word = self._table.standings.of(life).limit
+    def _log_limit(self, life: int, before: float, purpose: str, odd: str = "") -> None:
+        stated = self._table.standings.of(life).limit
         self._log.write(
             UpstreamLimit(
                 upstream=self._table.label_of(life),
                 life=f"{life:x}",
-                limit=told_limit(word),
+                limit=told_limit(stated),
                 before=before,
-                source=ANSWER_SOURCE if word is None else word.source,
-                answer=answer,
+                source=ANSWER_SOURCE if stated is None else stated.source,
+                answer=purpose,
                 odd=odd[:MAX_LOGGED_CHARACTERS],
             )
         )
 
-    def _tell_unknown(self, life: int, said: AnswerHead) -> None:
-        for name, value in said.unknown_words:
-            if self._is_news(life, name):
+    def _log_unknown(self, life: int, head: AnswerHead) -> None:
+        for name, value in head.unknown_words:
+            if self._should_log(life, name):
                 self._log.write(
                     UnknownWord(
                         upstream=self._table.label_of(life),
@@ -91,10 +91,10 @@
                     )
                 )
 
-    def _is_news(self, life: int, name: str) -> bool:
-        """Whether something that isn't understood is to be told: once, and of so many only."""
+    def _should_log(self, life: int, name: str) -> bool:
+        """Whether to log an unknown header or invalid value: once, up to MAX_UNKNOWN_HEADERS."""
         key = (life, name[:MAX_LOGGED_CHARACTERS])
-        if key in self._told_odd or len(self._told_odd) >= MAX_UNKNOWN_HEADERS:
+        if key in self._logged or len(self._logged) >= MAX_UNKNOWN_HEADERS:
             return False
-        self._told_odd.add(key)
+        self._logged.add(key)
         return True
--- a/pondpin/relay/upstreams/long_prefills.py
+++ b/pondpin/relay/upstreams/long_prefills.py
@@ -1,8 +1,8 @@
-"""Long prompts being read, told to every instance of a large fleet at once.
+"""Messages that announce long prefills to every instance of a large fleet at once.
 
-A digest tells the neighbours of an instance, as far as its budget of bytes goes. A long prompt may
-take engines of every data centre for seconds: whoever doesn't hear of it places light streams on
-them, or a long prompt whose parts go before the first one's.
+Digests go to the neighbours of an instance and have a bounded size. A long prompt may occupy
+engines of every data centre for seconds. An instance that doesn't know of it would place light
+streams on them, or another long prompt, whose parts would run before those of the first.
 """
 
 from collections.abc import Iterable
@@ -20,12 +20,12 @@
     Work,
 )
 
-# The first number of a message; digests have their format there.
+# The first number of a message, where digests have their own format number.
 LONG_PREFILLS_FORMAT = 1001
 
 
 class LongPrefill(msgspec.Struct, frozen=True, array_like=True):
-    """A prompt that its sender's engines read; see ReadDigest. tokens is what each part holds."""
+    """An unfinished prefill of its sender, see PrefillDigest; tokens is the size of each part."""
 
     lives: tuple[int, ...]
     age: int
@@ -37,7 +37,7 @@
 
 
 class LongPrefills(msgspec.Struct, frozen=True, array_like=True):
-    """All long prompts that an instance has read at the moment; sequence rises within a boot."""
+    """All unfinished long prefills of an instance; sequence increases within a boot."""
 
     format: int
     instance: str
@@ -50,58 +50,58 @@
 _ENCODER = msgspec.msgpack.Encoder()
 
 
-def encode_long_prefills(reads: LongPrefills) -> bytes:
-    """A message as a datagram."""
-    return _ENCODER.encode(reads)
+def encode_long_prefills(message: LongPrefills) -> bytes:
+    """Encode a message as a datagram."""
+    return _ENCODER.encode(message)
 
 
 def decode_long_prefills(data: bytes) -> LongPrefills | None:
-    """A message from a datagram; None for anything else."""
+    """Decode a datagram; None if it is no such message."""
     try:
-        found = _DECODER.decode(data)
+        message = _DECODER.decode(data)
     except msgspec.MsgspecError:
         return None
-    return found if found.format == LONG_PREFILLS_FORMAT else None
+    return message if message.format == LONG_PREFILLS_FORMAT else None
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedPrefill:
-    """A part on one engine that another instance told of; by this process's clock."""
+    """A part on one engine that a peer announced, by the local clock."""
 
     prefill: Prefill
     tokens: int
 
     @property
     def expires_at(self) -> float:
-        """After this its request is probably gone, if its end was not heard."""
+        """When its request is probably gone even if no message has reported its end."""
         return self.prefill.since + OVERDUE_FACTOR * self.prefill.duration + OVERDUE_SLACK_SECONDS
 
 
-def received_prefill(told: LongPrefill, now: float) -> ReceivedPrefill:
-    """What was told a moment ago."""
-    read = Prefill(
-        since=now - told.age / MS_PER_SECOND,
-        duration=told.duration / MS_PER_SECOND,
-        target=told.target / MS_PER_SECOND,
-        weight=told.weight / WEIGHT_SCALE,
-        group=told.group,
-        parts=len(told.lives),
+def received_prefill(announced: LongPrefill, now: float) -> ReceivedPrefill:
+    """Convert a prefill from a message that was just received."""
+    prefill = Prefill(
+        since=now - announced.age / MS_PER_SECOND,
+        duration=announced.duration / MS_PER_SECOND,
+        target=announced.target / MS_PER_SECOND,
+        weight=announced.weight / WEIGHT_SCALE,
+        group=announced.group,
+        parts=len(announced.lives),
     )
-    return ReceivedPrefill(read, told.tokens)
+    return ReceivedPrefill(prefill, announced.tokens)
 
 
 def collect_long_prefills(
     works_by_life: Iterable[tuple[int, Work]], now: float
 ) -> tuple[LongPrefill, ...]:
-    """The long prompts among some works, by the prompt whose parts they are."""
+    """Collect the unfinished long prefills of some work, one for each prompt."""
     parts_by_group: dict[int, list[tuple[int, Work]]] = {}
     for life, work in works_by_life:
         if not work.has_first_event and work.prefill_seconds >= LONG_PREFILL_SECONDS:
             parts_by_group.setdefault(work.group, []).append((life, work))
-    return tuple(_tell(parts, now) for parts in parts_by_group.values())
+    return tuple(_combine(parts, now) for parts in parts_by_group.values())
 
 
-def _tell(parts: list[tuple[int, Work]], now: float) -> LongPrefill:
+def _combine(parts: list[tuple[int, Work]], now: float) -> LongPrefill:
     work = parts[0][1]
     return LongPrefill(
         lives=tuple(life for life, _ in parts),
--- a/pondpin/relay/upstreams/prober.py
+++ b/pondpin/relay/upstreams/prober.py
@@ -1,4 +1,4 @@
-"""Asks upstreams for their liveness."""
+"""Liveness checks of upstreams."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -15,13 +15,13 @@
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.standing import Bar
 
-# A check waits for a slot like a request; a worker that takes longer is still not well.
+# A check waits for a slot like a request; an upstream that takes longer is still unhealthy.
 PROBE_SECONDS = 0.5
 
 
 @dataclass
 class Prober:
-    """Makes liveness checks; note_sent: one goes out, and counts for a limit of its upstream."""
+    """Makes liveness checks; on_sent: is called before each, since it counts towards a limit."""
 
     table: UpstreamTable
     port: LivenessPort
@@ -31,7 +31,7 @@
     on_sent: Callable[[UpstreamState], None]
 
     async def probe(self, due: Iterable[UpstreamState], configuration: RelayConfiguration) -> None:
-        """Probe some upstreams at the same time."""
+        """Probe upstreams concurrently."""
         await asyncio.gather(*(self._probe(state, configuration) for state in due))
 
     async def _probe(self, state: UpstreamState, configuration: RelayConfiguration) -> None:
@@ -40,14 +40,14 @@
             return
         self.on_sent(state)
         listed = state.listed
-        asked = SentRequest(listed.id, listed.life, LIVENESS_CHECK, self.clock())
+        request = SentRequest(listed.id, listed.life, LIVENESS_CHECK, self.clock())
         try:
             passed = await self.port.is_well(
                 listed.host,
                 listed.port,
                 service.health_path,
                 PROBE_SECONDS,
-                lambda said: self.on_head(asked, said),
+                lambda head: self.on_head(request, head),
             )
         except CallFailedError:
             passed = False
@@ -55,5 +55,5 @@
             state.record_probe_passed()
             self.log.write(UpstreamBack(upstream=state.id))
         elif state.needs_probe and state.bar(self.clock()) is Bar.NONE:
-            # One that leaves or asked for rest is not ill.
+            # A failed check of an upstream that is leaving or rests is no fault.
             self.table.record_failure(state, self.clock(), certain=True)
--- a/pondpin/relay/upstreams/reports.py
+++ b/pondpin/relay/upstreams/reports.py
@@ -1,4 +1,4 @@
-"""Asks silent engines for their report: one that answers is busy, one that doesn't is lost."""
+"""Status queries to silent engines: one that answers is busy, one that doesn't is lost."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,36 +13,37 @@
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.standing import Bar
 
-# A report takes no slot and is sent at once: a way there and back takes a few ms, a lost
-# packet is sent again after a quarter of a second or so.
+# A report needs no slot and is sent at once: a round trip takes a few ms, and a lost packet is
+# retransmitted after about 0.25 s.
 REPORT_TIMEOUT_SECONDS = 0.3
-# What one request learnt counts for the others that wait for the same engine.
+# A report is used for this long by all requests that wait for the same engine.
 REPORT_CACHE_SECONDS = 0.3
 
 
 class ReportClient:
-    """Reports of engines, asked for when they are silent; requests share them."""
+    """Queries reports of silent engines; concurrent requests share one query."""
 
     def __init__(
         self,
         port: ReportPort,
         log: EventLog,
         clock: Clock,
-        listen: HeadHandler = ignore_head,
-        note_sent: Callable[[UpstreamState], None] = lambda state: None,
+        on_head: HeadHandler = ignore_head,
+        on_sent: Callable[[UpstreamState], None] = lambda state: None,
     ) -> None:
-        """note_sent: something goes to an engine that counts for a limit of it."""
-        self._note_sent = note_sent
+        """on_sent: is called before each query, since it counts towards the engine's limit."""
+        self._on_sent = on_sent
         self._port = port
-        self._listen = listen
+        self._on_head = on_head
         self._log = log
         self._clock = clock
         self._tasks_by_life: dict[int, asyncio.Task[EngineReport | None]] = {}
 
     async def query_status(self, state: UpstreamState) -> bool:
-        """Whether an engine answers now, or did a moment ago.
+        """Whether an engine answers, or did within REPORT_CACHE_SECONDS.
 
-        One that asked for rest is not asked: it spoke, and wants nothing until its rest is over.
+        An engine that rests is not queried: it has answered and wants no calls until its rest is
+        over.
         """
         if state.bar(self._clock()) is Bar.RESTS:
             return True
@@ -57,8 +58,8 @@
 
     async def _read(self, state: UpstreamState) -> EngineReport | None:
         listed = state.listed
-        asked = SentRequest(listed.id, listed.life, "report", self._clock())
-        self._note_sent(state)
+        request = SentRequest(listed.id, listed.life, "report", self._clock())
+        self._on_sent(state)
         reason = ""
         report = None
         try:
@@ -66,13 +67,13 @@
                 listed.host,
                 listed.port,
                 REPORT_TIMEOUT_SECONDS,
-                lambda said: self._listen(asked, said),
+                lambda head: self._on_head(request, head),
             )
         except CallFailedError as error:
             reason = str(error)
         born = report.born if report is not None else None
         if born not in (None, listed.born):
-            # What answers at this address knows nothing of the requests of the life asked.
+            # Another life at this address doesn't know the requests of this one.
             report, reason = None, f"another life, from {born}"
         if report is not None:
             state.report, state.report_at = report, self._clock()
--- a/pondpin/relay/upstreams/restarts.py
+++ b/pondpin/relay/upstreams/restarts.py
@@ -1,4 +1,4 @@
-"""What follows when the list shows a later life of an upstream."""
+"""Handling of upstreams that the list shows with a later life."""
 
 from pondpin.http_client import HttpClient
 from pondpin.relay.log import EventLog
@@ -6,13 +6,13 @@
 from pondpin.relay.upstreams.table import Restart, UpstreamTable
 from pondpin.runtime import wall_now
 
-MILLISECONDS = 1000.0
+MS_PER_SECOND = 1000.0
 
 
 def handle_restart(
     restart: Restart, table: UpstreamTable, http: HttpClient, log: EventLog, now: float
 ) -> None:
-    """Drop idle connections of the earlier life, which may have crashed silently."""
+    """Close idle connections, since the earlier life may have crashed silently."""
     for listed in (restart.earlier, restart.later):
         http.drop_idle(listed.host, listed.port)
     _inherit_rest(restart, table, now)
@@ -21,13 +21,15 @@
 
 
 def _inherit_rest(restart: Restart, table: UpstreamTable, now: float) -> None:
-    """Answers don't name their life: until the list shows the later one, what that one asks for is
-    recorded of the earlier one.
+    """Copy a rest to the later life if that life asked for it.
+
+    Answers don't name their life, so until the list shows the later one, its notices are recorded
+    for the earlier one.
     """
     born = restart.later.born
     if born is None:
         return
-    age = wall_now() - born / MILLISECONDS
+    age = wall_now() - born / MS_PER_SECOND
     standings = table.standings
     earlier, later = standings.of(restart.earlier.life), standings.of(restart.later.life)
     later.inherit_rest(earlier, now - age)
--- a/pondpin/tests/test_relay_long_prefills.py
+++ b/pondpin/tests/test_relay_long_prefills.py
@@ -340,7 +340,7 @@
         self.assertEqual(self.wait(30.0), 2.0)
 
     def test_a_stream_that_has_begun_or_a_part_says_nothing(self) -> None:
-        self.assertEqual(self.wait(0.5, first_event=True), 0.0)
+        self.assertEqual(self.wait(0.5, has_first_event=True), 0.0)
         self.assertEqual(self.wait(0.5, parts=3), 0.0)
 
     def test_known_reading_explains_silence(self) -> None:
