--- a/pondpin/tests/test_relay_leases.py
+++ b/pondpin/tests/test_relay_leases.py
@@ -1,4 +1,4 @@
-"""Memory leases: all or nothing, returned whatever happens."""
+"""Memory leases: acquired all or none, always released."""
 
 import asyncio
 import unittest
@@ -16,7 +16,7 @@
 
 
 class FakeEngines:
-    """Answers orders as told; lost ones are taken all the same when they are kept."""
+    """Answers by port; a "lost" answer still holds the lease."""
 
     def __init__(self, answers: dict[int, str]) -> None:
         self.answers = answers
@@ -42,7 +42,7 @@
 
 class LeasesTest(unittest.TestCase):
     @given(st.dictionaries(st.integers(80, 83), st.sampled_from(["held", "refused", "lost"])))
-    def test_all_or_nothing_whatever_engines_say(self, answers: dict[int, str]) -> None:
+    def test_group_is_acquired_fully_or_released(self, answers: dict[int, str]) -> None:
         async def work() -> None:
             engines = FakeEngines(answers)
             leases = LeaseManager(engines, "x", ListLog())
@@ -57,7 +57,7 @@
 
         run_async(work())
 
-    def test_names_are_never_used_twice(self) -> None:
+    def test_lease_names_are_unique(self) -> None:
         async def work() -> None:
             leases = LeaseManager(FakeEngines({}), "x", ListLog())
             first, _ = await leases.acquire("r", PLACES, 1000)
@@ -69,13 +69,13 @@
 
         run_async(work())
 
-    def lapse(self, reading: float, begins_at: float, played: float) -> float:
-        """Seconds after which the memory of a prompt that is sent now is free again."""
+    def lease_end(self, forecast: float, first_event_at: float, run_seconds: float) -> float:
+        """Seconds until the memory of a prompt that is sent now is free again."""
         until = 0.0
 
         async def work() -> None:
             loop = asyncio.get_running_loop()
-            began = loop.time()
+            started_at = loop.time()
 
             class Engine(FakeEngines):
                 async def reserve(
@@ -89,34 +89,36 @@
                     hear: Hear,
                 ) -> LeaseAnswer:
                     nonlocal until
-                    until = max(until, loop.time() + hold - began)
+                    until = max(until, loop.time() + hold - started_at)
                     return LeaseAnswer.HELD
 
             leases = LeaseManager(Engine({}), "x", ListLog())
             group, _ = await leases.acquire("r", PLACES[:1], 1000)
             assert group is not None
-            keeping = leases.keep_alive(group, reading, lambda: loop.time() - began >= begins_at)
-            keeper = asyncio.ensure_future(keeping)
-            await asyncio.sleep(played)
-            keeper.cancel()
+            renewal = leases.keep_alive(
+                group, forecast, lambda: loop.time() - started_at >= first_event_at
+            )
+            task = asyncio.ensure_future(renewal)
+            await asyncio.sleep(run_seconds)
+            task.cancel()
 
         run_virtual(work())
         return until
 
-    def test_memory_that_nothing_uses_is_free_in_time(self) -> None:
-        # 9 s are allowed to memory that no request has used: an engine that takes a request and
-        # never runs it kept 110,839 tokens of its helpers for 13.8 s.
-        self.assertLess(self.lapse(2.0, begins_at=99.0, played=30.0), 9.0)
-        self.assertGreater(self.lapse(2.0, begins_at=99.0, played=30.0), 8.0)
+    def test_unused_memory_is_freed(self) -> None:
+        # The deployments allow 9 s for unused memory. An engine that accepted a request and never
+        # ran it held 110,839 tokens of its helpers for 13.8 s.
+        self.assertLess(self.lease_end(2.0, first_event_at=99.0, run_seconds=30.0), 9.0)
+        self.assertGreater(self.lease_end(2.0, first_event_at=99.0, run_seconds=30.0), 8.0)
 
-    def test_it_is_kept_while_an_answer_is_written(self) -> None:
-        self.assertGreater(self.lapse(2.0, begins_at=3.0, played=30.0), 30.0)
+    def test_lease_is_renewed_after_the_first_event(self) -> None:
+        self.assertGreater(self.lease_end(2.0, first_event_at=3.0, run_seconds=30.0), 30.0)
 
-    def test_a_prompt_that_takes_longer_to_read_has_its_time(self) -> None:
-        self.assertGreater(self.lapse(9.0, begins_at=99.0, played=30.0), 12.0)
+    def test_longer_forecast_extends_the_unused_timeout(self) -> None:
+        self.assertGreater(self.lease_end(9.0, first_event_at=99.0, run_seconds=30.0), 12.0)
 
-    def test_a_dead_holders_memory_is_soon_free(self) -> None:
-        # 4 s are allowed to memory that is set aside for a request that ended.
+    def test_memory_of_a_dead_holder_is_freed(self) -> None:
+        # The deployments allow 4 s for memory that is reserved for an ended request.
         self.assertLess(HOLD_SECONDS, 4.0)
         self.assertLess(2 * RENEW_SECONDS, HOLD_SECONDS)
         self.assertTrue(asyncio.iscoroutinefunction(LeaseManager.keep_alive))
--- a/pondpin/tests/test_relay_limit_log.py
+++ b/pondpin/tests/test_relay_limit_log.py
@@ -1,4 +1,4 @@
-"""What an instance writes down of limits, and of words of upstreams that it does not know."""
+"""Log lines on limits and unknown headers of upstreams."""
 
 import json
 import os
@@ -16,7 +16,7 @@
 from pondpin.tests.support import FakeClock
 
 
-class SightTest(unittest.TestCase):
+class LimitLogTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = FakeClock()
         folder = self.enterContext(tempfile.TemporaryDirectory())
@@ -28,18 +28,20 @@
         self.table.apply_list([listed], [])
         self.life = listed.life
         metrics = Metrics("x", "north")
-        self.hearing = NoticeHandler(
+        self.handler = NoticeHandler(
             self.table, lambda: None, lambda: None, metrics, self.log, self.clock
         )
 
-    def hear(self, what: str = REQUEST, words: Any = (), **said: Any) -> None:
+    def receive(self, purpose: str = REQUEST, unknown_headers: Any = (), **fields: Any) -> None:
         """An answer to what was asked a while after the last one."""
         self.clock.advance(0.1)
-        asked = SentRequest("a", self.life, what, self.clock())
+        request = SentRequest("a", self.life, purpose, self.clock())
         self.clock.advance(0.1)
-        notice = Notice(**said)
-        head = AnswerHead(200, "a1", False, None, False, True, None, "", notice, (), words)
-        self.hearing.handle_head(asked, head)
+        notice = Notice(**fields)
+        head = AnswerHead(
+            200, "a1", False, None, False, True, None, "", notice, (), unknown_headers
+        )
+        self.handler.handle_head(request, head)
 
     def lines(self, event: str) -> list[dict[str, Any]]:
         self.log.flush()
@@ -47,36 +49,36 @@
             found = [json.loads(line) for line in file]
         return [line for line in found if line["event"] == event]
 
-    def test_a_line_for_each_change_of_a_limit(self) -> None:
+    def test_each_limit_change_is_logged(self) -> None:
         for limit in (None, 1.0, 1.0, 2.0, None, None):
-            self.hear(limit=limit)
-        told = [(line["before"], line["limit"]) for line in self.lines("upstream_limit")]
-        self.assertEqual(told, [(-1.0, 1.0), (1.0, 2.0), (2.0, -1.0)])
+            self.receive(limit=limit)
+        logged = [(line["before"], line["limit"]) for line in self.lines("upstream_limit")]
+        self.assertEqual(logged, [(-1.0, 1.0), (1.0, 2.0), (2.0, -1.0)])
 
-    def test_only_answers_to_requests_take_a_limit_back(self) -> None:
-        self.hear(limit=1.0)
-        for what in ("liveness check", "report", "lease"):
-            self.hear(what)
+    def test_only_answers_to_requests_lift_a_limit(self) -> None:
+        self.receive(limit=1.0)
+        for purpose in ("liveness check", "report", "lease"):
+            self.receive(purpose)
         self.assertEqual(len(self.lines("upstream_limit")), 1)
-        self.hear("report", limit=3.0)
+        self.receive("report", limit=3.0)
         self.assertEqual(self.lines("upstream_limit")[-1]["answer"], "report")
 
-    def test_an_odd_value_is_told_once_and_changes_nothing(self) -> None:
-        self.hear(limit=1.0)
+    def test_invalid_limit_is_logged_once_and_ignored(self) -> None:
+        self.receive(limit=1.0)
         for _ in range(3):
-            self.hear(odd_limit="many")
+            self.receive(odd_limit="many")
         line = self.lines("upstream_limit")[-1]
         self.assertEqual((line["odd"], line["limit"], line["before"]), ("many", 1.0, 1.0))
         self.assertEqual(len(self.lines("upstream_limit")), 2)
 
-    def test_a_word_that_nobody_reads_is_told_once_for_a_life(self) -> None:
+    def test_unknown_header_is_logged_once_per_life(self) -> None:
         for value in ("low", "high"):
-            self.hear(words=(("server-mood", value),))
-        told = [(line["name"], line["value"]) for line in self.lines("unknown_word")]
-        self.assertEqual(told, [("server-mood", "low")])
+            self.receive(unknown_headers=(("server-mood", value),))
+        logged = [(line["name"], line["value"]) for line in self.lines("unknown_word")]
+        self.assertEqual(logged, [("server-mood", "low")])
         for number in range(2 * MAX_UNKNOWN_HEADERS):
             self.clock.advance(1.0)
-            self.hear(words=((f"server-{number}", "x" * 500),))
+            self.receive(unknown_headers=((f"server-{number}", "x" * 500),))
         found = self.lines("unknown_word")
         self.assertEqual(len(found), MAX_UNKNOWN_HEADERS)
         self.assertLessEqual(max(len(line["value"]) for line in found), 80)
--- a/pondpin/tests/test_relay_lives.py
+++ b/pondpin/tests/test_relay_lives.py
@@ -1,4 +1,4 @@
-"""Workers that start again under their id, and entries that another writer wrote."""
+"""Upstreams that restart under the same id, and invalid list entries of other writers."""
 
 import asyncio
 import random
@@ -43,23 +43,23 @@
     return ListedUpstream("a", ENGINES, "10.0.0.1", 80, "north", 8, leaving, born)
 
 
-def reading(since: float) -> Work:
+def prefill_work(since: float) -> Work:
     return Work(1.0, since, 5000, 0.3, 0.2, 1.3, True, True)
 
 
 class EntryTest(unittest.TestCase):
-    """One entry, as the adapter decodes it."""
+    """Decoding of one list entry."""
 
     def decode(self, entry: dict[str, Any], key: str = "servers/a") -> ListedUpstream:
         return PlatformDecoder().upstream(key, msgspec.json.encode(entry))
 
-    def test_entries_of_today_and_of_workers_that_say_when_they_were_born(self) -> None:
+    def test_start_time_and_unknown_fields_are_optional(self) -> None:
         self.assertIsNone(self.decode(engine_entry()).born)
         self.assertEqual(self.decode(engine_entry(born=FIRST)).born, FIRST)
         self.assertEqual(self.decode(engine_entry(unheard="of")).slots, 8)
 
-    def test_odd_entries_name_no_worker(self) -> None:
-        odd: tuple[dict[str, Any], ...] = (
+    def test_invalid_entries_are_rejected(self) -> None:
+        invalid: tuple[dict[str, Any], ...] = (
             {"state": "retired"},
             {"state": None},
             {"born": 1.5},
@@ -86,14 +86,14 @@
             {"address": "10.0.0.1:0"},
             {"address": "10.0.0.1:65536"},
         )
-        for changes in odd:
+        for changes in invalid:
             with self.subTest(changes), self.assertRaises(ValueError):
                 self.decode(engine_entry(**changes))
         for key in ("servers/", "servers/x/a", "servers//a", "a"):
             with self.subTest(key), self.assertRaises(ValueError):
                 self.decode(engine_entry(), key=key)
 
-    def test_each_field_of_the_pages_must_be_there(self) -> None:
+    def test_documented_fields_are_required(self) -> None:
         names = ("service", "address", "zone", "version", "slots", "state", "coldRemainingMs")
         for name in (*names, "sequence"):
             entry = engine_entry()
@@ -101,19 +101,19 @@
             with self.subTest(name), self.assertRaises(ValueError):
                 self.decode(entry)
 
-    def test_bytes_that_cannot_be_read_are_refused(self) -> None:
+    def test_undecodable_values_are_rejected(self) -> None:
         deep = b'{"a":' + b"[" * 200_000
         for value in (b"", b"\xff\xfe", b"null", b"[]", b"{", b"\x00" * 9, deep):
             with self.assertRaises(ValueError):
                 PlatformDecoder().upstream("servers/a", value)
 
-    def test_a_configuration_that_nests_too_deeply_is_refused(self) -> None:
+    def test_deeply_nested_configuration_is_rejected(self) -> None:
         with self.assertRaises(ValueError):
             PlatformDecoder().configuration(b'{"a":' + b"[" * 200_000)
 
 
-class OddListTest(unittest.TestCase):
-    """The list of upstreams with entries that can't be used beside good ones."""
+class InvalidEntriesTest(unittest.TestCase):
+    """Invalid entries in the list beside valid ones."""
 
     def setUp(self) -> None:
         self.recorder = Recorder()
@@ -127,23 +127,23 @@
         self.publication.apply_list([self.good, *items], self.now, self.now)
         return self.recorder.listed
 
-    def test_an_odd_entry_takes_the_good_one_at_its_key_out_and_is_told_once(self) -> None:
+    def test_invalid_entry_removes_the_valid_one_at_its_key_and_is_logged_once(self) -> None:
         self.assertEqual(self.offer(entry_item("a", 3, engine_entry())), ["good", "a"])
-        odd = entry_item("a", 4, engine_entry(state="retired"))
-        self.assertEqual(self.offer(odd), ["good"])
+        invalid = entry_item("a", 4, engine_entry(state="retired"))
+        self.assertEqual(self.offer(invalid), ["good"])
         self.assertEqual(self.recorder.removed, ["a"])
-        self.assertEqual(self.offer(odd, entry_item("b", 5, engine_entry())), ["good", "b"])
+        self.assertEqual(self.offer(invalid, entry_item("b", 5, engine_entry())), ["good", "b"])
         self.assertEqual(len(self.recorder.rejected), 1)
         self.assertEqual(self.offer(entry_item("a", 6, engine_entry())), ["good", "a"])
 
-    def test_an_odd_entry_is_out_at_once_also_while_the_source_comes_back(self) -> None:
+    def test_invalid_entry_is_removed_at_once_even_after_an_outage(self) -> None:
         self.offer(entry_item("a", 3, engine_entry()))
         self.now += 30
-        odd = PublishedItem("servers/a", 4, b"\xff")
-        self.assertEqual(self.offer(odd), ["good"])
+        invalid = PublishedItem("servers/a", 4, b"\xff")
+        self.assertEqual(self.offer(invalid), ["good"])
         self.assertEqual(self.recorder.removed, ["a"])
 
-    def test_a_service_that_no_configuration_names_has_no_upstreams(self) -> None:
+    def test_unknown_service_has_no_upstreams(self) -> None:
         other = entry_item("a", 3, engine_entry(service="unheard"))
         self.assertEqual(self.offer(other), ["good"])
         self.assertEqual(self.offer(other, entry_item("b", 4, engine_entry())), ["good", "b"])
@@ -154,21 +154,21 @@
         self.publication.apply_configuration(named, None, NOW)
         self.assertEqual(self.recorder.listed, ["good", "a", "b"])
 
-    def test_a_service_that_is_not_named_takes_the_good_entry_out(self) -> None:
+    def test_change_to_an_unknown_service_removes_the_entry(self) -> None:
         self.offer(entry_item("a", 3, engine_entry()))
         self.assertEqual(self.offer(entry_item("a", 4, engine_entry(service="unheard"))), ["good"])
         self.assertEqual(self.recorder.removed, ["a"])
         self.assertEqual(len(self.recorder.rejected), 1)
         self.assertEqual(self.offer(entry_item("a", 5, engine_entry())), ["good", "a"])
 
-    def test_an_odd_key_does_not_touch_the_upstream_of_its_last_part(self) -> None:
+    def test_nested_key_does_not_affect_the_upstream_of_its_last_part(self) -> None:
         self.offer(entry_item("a", 3, engine_entry()))
-        odd = entry_item("x/a", 4, engine_entry(state="draining"))
-        self.assertEqual(self.offer(entry_item("a", 3, engine_entry()), odd), ["good", "a"])
+        invalid = entry_item("x/a", 4, engine_entry(state="draining"))
+        self.assertEqual(self.offer(entry_item("a", 3, engine_entry()), invalid), ["good", "a"])
         self.assertEqual(self.offer(entry_item("a", 3, engine_entry())), ["good", "a"])
         self.assertEqual(self.recorder.removed, [])
 
-    def test_the_list_may_come_before_the_configuration(self) -> None:
+    def test_list_may_arrive_before_the_configuration(self) -> None:
         recorder = Recorder()
         recorder.publication.apply_list([self.good], NOW, NOW)
         self.assertEqual(recorder.rejected, [])
@@ -193,24 +193,24 @@
         st.binary(max_size=12),
         st.booleans(),
     )
-    def test_whatever_another_writer_writes(
-        self, changes: dict[str, Any], missing: set[str], tail: bytes, spoils: bool
+    def test_arbitrary_entries_of_other_writers(
+        self, changes: dict[str, Any], missing: set[str], tail: bytes, has_tail: bool
     ) -> None:
         recorder = Recorder()
         publication = recorder.publication
         publication.apply_configuration(configuration_item(1, 1), None, NOW)
         publication.apply_list([self.good, entry_item("a", 3, engine_entry())], NOW, NOW)
         entry = {name: item for name, item in engine_entry().items() if name not in missing}
-        value = msgspec.json.encode(entry | changes) + (tail if spoils else b"")
+        value = msgspec.json.encode(entry | changes) + (tail if has_tail else b"")
         publication.apply_list([self.good, PublishedItem("servers/a", 4, value)], NOW + 1, NOW + 1)
         self.assertIn("good", recorder.listed)
         if "a" in recorder.listed:
             self.assertEqual(recorder.rejected, [])
-            self.assert_sound(value)
+            self.assert_valid(value)
         else:
             self.assertEqual((len(recorder.rejected), recorder.removed), (1, ["a"]))
 
-    def assert_sound(self, value: bytes) -> None:
+    def assert_valid(self, value: bytes) -> None:
         entry = msgspec.json.decode(value)
         self.assertIn(entry["state"], ("ready", "draining"))
         self.assertEqual(entry["service"], ENGINES)
@@ -227,21 +227,21 @@
         self.now = NOW
 
     def offer(self, revision: int, born: int | None, **changes: Any) -> int | None:
-        """Offer an entry; the start of the life in force then."""
+        """Offer an entry; return the start of the life in force afterwards."""
         self.now += 0.7
         said = {} if born is None else {"born": born}
         item = entry_item("a", revision, engine_entry(**said, **changes))
         self.publication.apply_list([item], self.now, self.now)
         return self.recorder.born_by_id.get("a")
 
-    def test_the_greater_start_is_the_later_life_however_late_it_comes(self) -> None:
+    def test_greater_start_is_the_later_life_in_any_order(self) -> None:
         self.assertEqual(self.offer(2, LATER), LATER)
         self.assertEqual(self.offer(3, FIRST, state="draining"), LATER)
         self.assertEqual(self.recorder.removed, [])
         self.assertEqual(len(self.recorder.rejected), 1)
         self.assertEqual(self.offer(4, LATER + 1), LATER + 1)
 
-    def test_an_earlier_life_does_not_come_back_when_the_entry_was_gone(self) -> None:
+    def test_earlier_life_does_not_return_after_a_removal(self) -> None:
         self.offer(2, LATER)
         self.publication.apply_list([], self.now + 1, self.now + 1)
         self.assertEqual(self.recorder.removed, ["a"])
@@ -249,19 +249,19 @@
         self.assertIsNone(self.offer(3, FIRST))
         self.assertEqual(self.offer(4, LATER), LATER)
 
-    def test_an_entry_that_says_no_start_any_more_is_another_writers(self) -> None:
+    def test_entry_that_loses_its_start_is_rejected(self) -> None:
         self.offer(2, FIRST)
         self.assertIsNone(self.offer(3, None))
         self.assertEqual(self.recorder.removed, ["a"])
 
-    def test_a_worker_that_says_its_start_for_the_first_time(self) -> None:
+    def test_entry_that_gains_a_start_is_accepted(self) -> None:
         self.assertIsNone(self.offer(2, None))
         self.assertEqual(self.recorder.listed, ["a"])
         self.assertEqual(self.offer(3, FIRST), FIRST)
 
 
 class LivesInTheTableTest(unittest.TestCase):
-    """Nothing that is known of one life counts for another."""
+    """State of one life doesn't affect another."""
 
     def setUp(self) -> None:
         self.table = UpstreamTable("north")
@@ -272,30 +272,30 @@
         news = self.table.apply_list([listed(LATER)], [])
         self.assertEqual([item.later.born for item in news.restarted], [LATER])
 
-    def test_health_work_and_reports_end_with_a_life(self) -> None:
+    def test_state_is_reset_with_a_new_life(self) -> None:
         self.table.record_failure(self.first, NOW, certain=True)
-        self.first.work_by_key[1] = reading(NOW)
+        self.first.work_by_key[1] = prefill_work(NOW)
         self.first.report = EngineReport(8, 8)
         self.start_again()
         state = self.table.by_id["a"]
         self.assertTrue(state.is_usable(NOW))
         self.assertEqual((state.in_flight(NOW), state.report), (0, None))
         self.assertTrue(self.first.ended)
-        # What is still open at the earlier life ends there.
+        # Requests still open on the earlier life don't affect the later one.
         self.table.record_failure(self.first, NOW, certain=True)
         self.first.record_prefill_end(1, NOW)
         self.assertTrue(state.is_usable(NOW))
 
-    def test_leaving_belongs_to_a_life(self) -> None:
+    def test_leaving_applies_to_one_life(self) -> None:
         self.assertTrue(self.table.mark_leaving(life_of("a", FIRST)))
         self.start_again()
         self.assertEqual(
             [item.id for item in self.table.candidates(ENGINES, NOW, frozenset())], ["a"]
         )
-        # A peer tells late of the earlier one.
+        # A late message of a peer on the earlier life.
         self.table.mark_leaving(life_of("a", FIRST))
         self.assertFalse(self.table.by_id["a"].leaving)
-        # And early of the later one.
+        # A message on a later life that is not listed yet.
         self.table.mark_leaving(life_of("a", LATER + 1))
         self.table.apply_list([listed(LATER + 1)], [])
         self.assertTrue(self.table.by_id["a"].leaving)
@@ -307,8 +307,8 @@
         self.assertEqual(self.table.by_id["a"].listed.born, LATER)
         self.assertFalse(self.table.by_id["a"].leaving)
 
-    def test_what_peers_tell_counts_for_the_life_they_mean(self) -> None:
-        self.first.work_by_key[1] = reading(NOW)
+    def test_messages_of_peers_apply_to_the_life_they_name(self) -> None:
+        self.first.work_by_key[1] = prefill_work(NOW)
         told = self.first.digest(NOW)
         assert told is not None
         self.start_again()
@@ -320,33 +320,33 @@
         self.table.suspect(life_of("a", LATER), NOW + 5)
         self.assertFalse(state.is_usable(NOW))
 
-    def test_a_request_may_go_to_the_later_life_of_one_it_tried(self) -> None:
+    def test_later_life_of_a_tried_one_is_a_candidate(self) -> None:
         tried = frozenset((self.first.life,))
         self.assertEqual(self.table.candidates(ENGINES, NOW, tried), [])
         self.start_again()
         self.assertEqual(len(self.table.candidates(ENGINES, NOW, tried)), 1)
 
 
-class Engines:
-    """Counts orders by port."""
+class FakeEngines:
+    """Records the port of each call."""
 
     def __init__(self) -> None:
-        self.orders: list[int] = []
+        self.calls: list[int] = []
 
     async def reserve(
         self, host: str, port: int, lease: str, tokens: int, hold: float, timeout: float, hear: Hear
     ) -> LeaseAnswer:
-        self.orders.append(port)
+        self.calls.append(port)
         return LeaseAnswer.HELD
 
     async def release(self, host: str, port: int, lease: str, timeout: float, hear: Hear) -> bool:
-        self.orders.append(port)
+        self.calls.append(port)
         return True
 
 
-class OrdersAndReportsTest(unittest.TestCase):
-    def test_a_later_life_gets_no_orders_for_an_earlier_ones_leases(self) -> None:
-        engines = Engines()
+class LeasesAndReportsTest(unittest.TestCase):
+    def test_later_life_gets_no_calls_for_leases_of_an_earlier_one(self) -> None:
+        engines = FakeEngines()
         ended: set[int] = set()
 
         async def work() -> None:
@@ -358,17 +358,17 @@
             group, _ = await leases.acquire("r", places, 1000)
             assert group is not None
             ended.add(1)
-            engines.orders.clear()
-            keeping = asyncio.ensure_future(leases.keep_alive(group, 1.0, lambda: True))
+            engines.calls.clear()
+            task = asyncio.ensure_future(leases.keep_alive(group, 1.0, lambda: True))
             await asyncio.sleep(1.5 * RENEW_SECONDS)
-            keeping.cancel()
+            task.cancel()
             leases.release(group)
             await leases.wait_released()
 
         run_async(work())
-        self.assertEqual(engines.orders, [81, 81])
+        self.assertEqual(engines.calls, [81, 81])
 
-    def test_a_report_of_another_life_is_no_answer(self) -> None:
+    def test_report_of_another_life_is_rejected(self) -> None:
         class Port:
             born: int | None = LATER
 
@@ -396,22 +396,22 @@
 
 
 class RestartTest(RelayTest):
-    """A worker that starts again, seen by callers."""
+    """Restart of a worker as callers see it."""
 
     engines = 1
 
     def play(self, work: Any) -> None:
-        async def with_births(platform: LocalPlatform) -> None:
+        async def with_starts(platform: LocalPlatform) -> None:
             for number, worker in enumerate(platform.workers_by_id.values()):
                 worker.born = FIRST + number
-                self.list_again(platform, worker.id)
+                self.relist(platform, worker.id)
             table = platform.entries[0].table
             await wait_until(lambda: all(item.listed.born for item in table.by_id.values()))
             await work(platform)
 
-        super().play(with_births)
+        super().play(with_starts)
 
-    def list_again(self, platform: LocalPlatform, name: str, **changes: Any) -> None:
+    def relist(self, platform: LocalPlatform, name: str, **changes: Any) -> None:
         worker = platform.workers_by_id[name]
         assert worker.server.port is not None
         service = ENGINES if name.startswith("engine") else PLAIN
@@ -419,47 +419,47 @@
         entry = sample_entry(service, address, born=worker.born, **changes)
         platform.store.put(f"{UPSTREAMS_PREFIX}{name}", entry)
 
-    def test_the_later_life_serves_soon_whatever_became_of_the_earlier_one(self) -> None:
+    def test_later_life_serves_after_an_ejected_and_draining_one(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             table = platform.entries[0].table
             worker = platform.workers_by_id["engine-0"]
             self.assertEqual((await ask(platform, "stream", "a1", x_token_usage="9,9")).status, 200)
-            self.list_again(platform, worker.id, state="draining")
+            self.relist(platform, worker.id, state="draining")
             await wait_until(lambda: table.by_id[worker.id].leaving)
             table.record_failure(table.by_id[worker.id], NOW, certain=True)
             worker.start_again(LATER)
-            self.list_again(platform, worker.id)
+            self.relist(platform, worker.id)
             await wait_until(lambda: table.by_id[worker.id].listed.born == LATER)
             self.assertEqual((await ask(platform, "stream", "a2", x_token_usage="9,9")).status, 200)
 
         self.play(work)
 
-    def test_a_request_of_the_earlier_life_keeps_its_true_end(self) -> None:
+    def test_request_of_the_earlier_life_runs_once(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             table = platform.entries[0].table
             workers = [platform.workers_by_id[name] for name in ("plain-0", "plain-1")]
             for worker in workers:
                 worker.faults = [WorkerFault.HANG]
-            asking = asyncio.ensure_future(ask(platform, "once", "a1"))
+            pending = asyncio.ensure_future(ask(platform, "once", "a1"))
             await wait_until(lambda: any(worker.working for worker in workers))
             worker = next(item for item in workers if item.working)
             worker.start_again(LATER)
-            self.list_again(platform, worker.id)
+            self.relist(platform, worker.id)
             await wait_until(lambda: table.by_id[worker.id].listed.born == LATER)
-            answer = await asking
+            answer = await pending
             self.assertNotIn(answer.status, (408, 421, 429, 503, 200))
             self.assertEqual(sum(item.runs_by_attempt["a1"] for item in workers), 1)
 
         self.play(work)
 
-    def test_odd_entries_beside_good_ones(self) -> None:
+    def test_invalid_entries_do_not_affect_valid_ones(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             entry = platform.entries[0]
             rng = random.Random(1)
             for number in range(20):
                 changes = rng.choice(({"state": "retired"}, {"slots": 0}, {"service": "unheard"}))
-                odd = sample_entry(ENGINES, "127.0.0.1:9", **changes)
-                platform.store.put(f"{UPSTREAMS_PREFIX}odd-{number}", odd)
+                invalid = sample_entry(ENGINES, "127.0.0.1:9", **changes)
+                platform.store.put(f"{UPSTREAMS_PREFIX}odd-{number}", invalid)
             tag = entry.publication.list_tag
             await wait_until(lambda: entry.publication.list_tag != tag)
             self.assertEqual(len(entry.table.by_id), 3)
@@ -470,8 +470,8 @@
         self.play(work)
 
 
-class OddPageTest(RelayTest):
-    def test_an_item_that_cannot_be_read_hides_no_other(self) -> None:
+class InvalidPageTest(RelayTest):
+    def test_undecodable_item_hides_no_other(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             platform.store.put(f"{UPSTREAMS_PREFIX}odd &=?name", {"no": "entry"})
             platform.store.spoiled_keys = {f"{UPSTREAMS_PREFIX}odd &=?name": "no base64!"}
@@ -489,8 +489,8 @@
         self.play(work)
 
 
-class CountTest(RelayTest):
-    def test_each_revision_of_an_odd_entry_counts_once(self) -> None:
+class RejectedEntriesMetricTest(RelayTest):
+    def test_rejected_entries_are_counted(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             entry = platform.entries[0]
             for _ in range(5):
--- a/pondpin/tests/test_relay_notices.py
+++ b/pondpin/tests/test_relay_notices.py
@@ -1,14 +1,12 @@
-"""What upstreams say of themselves in their answers is kept to.
-
-Users saw: requests reached an upstream 12.8 s after an answer of it had told the instance that sent
-them that it leaves; and an upstream that had turned an instance away with 3 s of rest got up to six
-requests from it in that time, while callers were refused although 13 of 18 engines were free.
-Order: the store is away; an upstream says in its answers that it leaves, and the list can't say so;
-the instance passes the answers on and sends the next requests there. Or: an upstream is full and
-answers 503 with a wish for rest; the next request goes there at once.
-Cause: nothing of an answer but its status and load was read for what it says of its upstream.
-Proof: a line for each such answer (`upstream_notice`) and its age at each placement (`placed`): the
-chosen upstream had said it before, in an answer of the same instance, with no lapse between.
+"""Notices in the answers of upstreams are obeyed.
+
+Guards against two failures. An upstream announced in its answers that it was leaving, while the
+store was unreachable and so the list could not show it; 12.8 s later an instance that had received
+such an answer still sent it requests. And a full upstream that had answered 503 with a rest of 3 s
+got up to six requests from the same instance in that time, while callers were refused although 13
+of 18 engines were free. The instance read only the status and the load of an answer.
+
+Each such answer is logged (`upstream_notice`), and its age at each placement (`placed`).
 """
 
 import unittest
@@ -18,12 +16,12 @@
 from pondpin.tests.support import RelayTest, ask
 
 ROUTES = ("stream", "long", "once", "again")
-ASKED = 24
+REQUESTS = 24
 REST = "3"
 
 
-async def ask_all(platform: LocalPlatform, route: str, times: int = ASKED) -> list[int]:
-    """Requests one after the other, by turns at each instance; returns their statuses."""
+async def ask_all(platform: LocalPlatform, route: str, times: int = REQUESTS) -> list[int]:
+    """Send requests one after the other, alternating between instances; return the statuses."""
     statuses = []
     for number in range(times):
         instance = number % len(platform.entries)
@@ -36,29 +34,29 @@
     return statuses
 
 
-class IncidentTest(RelayTest):
-    """The incident as the users had it: the list says nothing, all upstreams but one are well."""
+class NoticeTest(RelayTest):
+    """The list shows all upstreams as ready; one engine and one plain upstream send notices."""
 
     instances = 2
     engines = 2
 
-    def test_nothing_is_sent_to_an_upstream_that_said_it_leaves(self) -> None:
+    def test_no_request_after_a_leaving_notice(self) -> None:
         async def work(platform: LocalPlatform) -> None:
-            worst = [platform.workers_by_id[name] for name in ("engine-0", "plain-0")]
-            for worker in worst:
+            leaving = [platform.workers_by_id[name] for name in ("engine-0", "plain-0")]
+            for worker in leaving:
                 worker.says_leaving = True
             for route in ROUTES:
                 with self.subTest(route):
                     statuses = await ask_all(platform, route)
                     self.assertEqual(set(statuses), {200})
-            for worker in worst:
+            for worker in leaving:
                 with self.subTest(worker.id):
                     self.assertEqual(worker.wishes.late(0.0), 0)
                     self.assertLessEqual(len(worker.wishes.arrivals), len(platform.entries))
 
         self.play(work)
 
-    def test_a_rest_that_was_asked_is_kept(self) -> None:
+    def test_no_request_during_a_rest(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             resting = [platform.workers_by_id[name] for name in ("engine-0", "plain-0")]
             for worker in resting:
@@ -66,9 +64,9 @@
             for route in ROUTES:
                 with self.subTest(route):
                     statuses = await ask_all(platform, route)
-                    # What may be sent to one upstream only is told when to come back, once.
-                    most = len(platform.entries) if route == "once" else 0
-                    self.assertLessEqual(sum(status != 200 for status in statuses), most)
+                    # A request that may be sent only once is refused with a retry time.
+                    max_refused = len(platform.entries) if route == "once" else 0
+                    self.assertLessEqual(sum(status != 200 for status in statuses), max_refused)
             for worker in resting:
                 with self.subTest(worker.id):
                     self.assertEqual(windows_over([worker.wishes]), 0)
--- a/pondpin/tests/test_relay_reports.py
+++ b/pondpin/tests/test_relay_reports.py
@@ -1,4 +1,4 @@
-"""Reports of silent engines: asked for once by all who wait, kept for a moment."""
+"""Status queries to silent engines: shared by waiting requests and cached briefly."""
 
 import asyncio
 import os
@@ -14,16 +14,16 @@
 from pondpin.tests.support import FakeClock, run_async
 
 
-class Port:
-    """Answers when it is told to; counts how often it was asked."""
+class FakePort:
+    """Answers unless lost is set; counts the queries."""
 
     def __init__(self) -> None:
-        self.asked = 0
+        self.queries = 0
         self.answer = EngineReport(running=3, waiting=0)
         self.lost = False
 
     async def read_report(self, host: str, port: int, timeout: float, hear: Hear) -> EngineReport:
-        self.asked += 1
+        self.queries += 1
         await asyncio.sleep(0)
         if self.lost:
             raise CallFailedError("timeout", sent=True)
@@ -33,49 +33,49 @@
 class ReportsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = FakeClock()
-        self.port = Port()
+        self.port = FakePort()
         log = EventLog("a", self.clock, self.clock, os.open(os.devnull, os.O_WRONLY))
         self.reports = ReportClient(self.port, log, self.clock)
         listed = ListedUpstream("e0", "engines", "10.0.0.1", 80, "north", 8, False)
         self.state = UpstreamState(listed)
 
-    def ask(self, times: int = 1) -> list[bool]:
+    def query(self, times: int = 1) -> list[bool]:
         answers: list[bool] = []
 
         async def work() -> None:
-            asking = (self.reports.query_status(self.state) for _ in range(times))
-            answers.extend(await asyncio.gather(*asking))
+            queries = (self.reports.query_status(self.state) for _ in range(times))
+            answers.extend(await asyncio.gather(*queries))
 
         run_async(work())
         return answers
 
-    def test_requests_share_a_report_for_a_while(self) -> None:
-        self.assertEqual(self.ask(3), [True, True, True])
-        self.assertEqual(self.port.asked, 1)
-        self.assertEqual(self.ask(), [True])
-        self.assertEqual(self.port.asked, 1)
+    def test_report_is_shared_and_cached(self) -> None:
+        self.assertEqual(self.query(3), [True, True, True])
+        self.assertEqual(self.port.queries, 1)
+        self.assertEqual(self.query(), [True])
+        self.assertEqual(self.port.queries, 1)
         self.clock.advance(2 * REPORT_CACHE_SECONDS)
-        self.assertEqual(self.ask(), [True])
-        self.assertEqual(self.port.asked, 2)
+        self.assertEqual(self.query(), [True])
+        self.assertEqual(self.port.queries, 2)
 
-    def test_an_engine_that_does_not_answer_is_told_to_all_and_asked_anew(self) -> None:
+    def test_failed_query_is_shared_but_not_cached(self) -> None:
         self.port.lost = True
-        self.assertEqual(self.ask(2), [False, False])
+        self.assertEqual(self.query(2), [False, False])
         self.port.lost = False
-        self.assertEqual(self.ask(), [True])
-        self.assertEqual(self.port.asked, 2)
+        self.assertEqual(self.query(), [True])
+        self.assertEqual(self.port.queries, 2)
 
-    def test_a_report_counts_as_a_sign_of_life_and_of_a_queue(self) -> None:
+    def test_report_updates_last_seen_and_busy(self) -> None:
         self.clock.advance(5.0)
-        self.ask()
+        self.query()
         self.assertEqual(self.state.last_seen_at, self.clock())
         self.assertFalse(self.state.is_busy(self.clock()))
         self.port.answer = EngineReport(running=8, waiting=2)
         self.clock.advance(2 * REPORT_CACHE_SECONDS)
-        self.ask()
+        self.query()
         self.assertTrue(self.state.is_busy(self.clock()))
 
-    def test_a_long_reading_makes_an_engine_busy(self) -> None:
+    def test_long_prefill_makes_an_engine_busy(self) -> None:
         now = self.clock()
         self.state.work_by_key[1] = Work(1.0, now, 9000, 3.0, 0.8, 2.0, False, True)
         self.assertTrue(self.state.is_busy(now))
--- a/pondpin/tests/test_relay_unlisted_life.py
+++ b/pondpin/tests/test_relay_unlisted_life.py
@@ -1,4 +1,4 @@
-"""What a later life asks for before the list shows it."""
+"""Rests that a later life asks for before the list shows that life."""
 
 import asyncio
 import unittest
@@ -13,7 +13,7 @@
 
 
 class UnlistedLifeTest(RelayTest):
-    def test_a_rest_that_it_asked_for_is_kept(self) -> None:
+    def test_rest_of_an_unlisted_life_is_inherited(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             entry = platform.entries[0]
             rest_all(platform, PLAIN, "60")
@@ -40,12 +40,12 @@
 
         self.play(work)
 
-    def test_rest_of_the_earlier_life_does_not_bind_the_later_one(self) -> None:
-        for asked_at, is_kept in ((9.0, False), (11.0, True)):
+    def test_only_a_rest_after_the_start_is_inherited(self) -> None:
+        for asked_at, is_inherited in ((9.0, False), (11.0, True)):
             earlier, later = Standing(), Standing()
             earlier.rest = Rest(asked_at, 70.0, 70.0)
             later.inherit_rest(earlier, since=10.0)
-            self.assertEqual(later.bar(20.0) is Bar.RESTS, is_kept)
+            self.assertEqual(later.bar(20.0) is Bar.RESTS, is_inherited)
 
 
 if __name__ == "__main__":
