--- a/pondpin/relay/upstreams/forecast.py
+++ b/pondpin/relay/upstreams/forecast.py
@@ -77,7 +77,7 @@
 
 
 def miss_probability(seconds: float, target: float, hit: float, miss: float) -> float:
-    """Probability that something forecast to take seconds misses its target."""
+    """Probability, 0 to 1, that an event forecast after seconds misses its target."""
     if target <= 0:
         return 0.0
     return min(1.0, max(0.0, (seconds / target - hit) / (miss - hit)))
--- a/pondpin/relay/upstreams/state.py
+++ b/pondpin/relay/upstreams/state.py
@@ -104,7 +104,7 @@
 
     @property
     def is_limited(self) -> bool:
-        """Whether it has set a limit for all instances, so that requests need permits."""
+        """Whether it set a limit for all instances, so that requests need permits."""
         stated = self.standing.limit
         return stated is not None and stated.limit is not None
 
--- a/pondpin/relay/upstreams/table.py
+++ b/pondpin/relay/upstreams/table.py
@@ -119,7 +119,7 @@
         return state
 
     def mark_leaving(self, life: int, source: str = "", now: float = 0.0) -> bool:
-        """Mark a life as leaving, whatever its list entry says; True if it was not marked."""
+        """Mark a life as leaving, whatever its list entry says; True if it was not yet."""
         self.standings.of(life).note_leaving(source, now)
         if life in self._left:
             return False
@@ -154,7 +154,7 @@
     def newest_leaving(self, limit: int) -> tuple[int, ...]:
         """Listed lives that are leaving, the most recent first.
 
-        Those ready in the list come before: a starting instance knows them from peers only.
+        Those ready in the list come first: a starting instance learns of them from peers only.
         """
         return self._listed_leaving()[:limit]
 
@@ -196,8 +196,8 @@
     ) -> list[UpstreamState]:
         """Upstreams that may get a request, without the lives tried.
 
-        If none looks healthy, that is ignored, but never that one is leaving, rests, or has a limit
-        without has_permit.
+        Falls back to unhealthy upstreams, but never to one that is leaving, rests, or has a limit
+        and no permit.
         """
         # is_blank is tested first, as each plan tests up to 930 upstreams.
         present = [
--- a/pondpin/tests/test_relay_limit_log.py
+++ b/pondpin/tests/test_relay_limit_log.py
@@ -33,7 +33,7 @@
         )
 
     def receive(self, purpose: str = REQUEST, unknown_headers: Any = (), **fields: Any) -> None:
-        """An answer to what was asked a while after the last one."""
+        """Handle an answer to a request sent 0.1 s after the previous answer."""
         self.clock.advance(0.1)
         request = SentRequest("a", self.life, purpose, self.clock())
         self.clock.advance(0.1)
--- a/pondpin/tests/test_relay_lives.py
+++ b/pondpin/tests/test_relay_lives.py
@@ -229,8 +229,8 @@
     def offer(self, revision: int, born: int | None, **changes: Any) -> int | None:
         """Offer an entry; return the start of the life in force afterwards."""
         self.now += 0.7
-        said = {} if born is None else {"born": born}
-        item = entry_item("a", revision, engine_entry(**said, **changes))
+        fields = {} if born is None else {"born": born}
+        item = entry_item("a", revision, engine_entry(**fields, **changes))
         self.publication.apply_list([item], self.now, self.now)
         return self.recorder.born_by_id.get("a")
 
@@ -269,8 +269,8 @@
         self.first = self.table.by_id["a"]
 
     def start_again(self) -> None:
-        news = self.table.apply_list([listed(LATER)], [])
-        self.assertEqual([item.later.born for item in news.restarted], [LATER])
+        changes = self.table.apply_list([listed(LATER)], [])
+        self.assertEqual([item.later.born for item in changes.restarted], [LATER])
 
     def test_state_is_reset_with_a_new_life(self) -> None:
         self.table.record_failure(self.first, NOW, certain=True)
@@ -302,17 +302,17 @@
 
     def test_an_earlier_life_does_not_come_back(self) -> None:
         self.start_again()
-        news = self.table.apply_list([listed(FIRST, leaving=True)], [])
-        self.assertEqual((news.leaving, news.restarted), ((), ()))
+        changes = self.table.apply_list([listed(FIRST, leaving=True)], [])
+        self.assertEqual((changes.leaving, changes.restarted), ((), ()))
         self.assertEqual(self.table.by_id["a"].listed.born, LATER)
         self.assertFalse(self.table.by_id["a"].leaving)
 
     def test_messages_of_peers_apply_to_the_life_they_name(self) -> None:
         self.first.work_by_key[1] = prefill_work(NOW)
-        told = self.first.digest(NOW)
-        assert told is not None
+        work_digest = self.first.digest(NOW)
+        assert work_digest is not None
         self.start_again()
-        self.table.update_peer_work("peer", [told], NOW, NOW + 5)
+        self.table.update_peer_work("peer", [work_digest], NOW, NOW + 5)
         self.table.suspect(life_of("a", FIRST), NOW + 5)
         state = self.table.by_id["a"]
         self.assertEqual(state.in_flight(NOW), 0)
