--- a/pondpin/relay/attempts/admission.py
+++ b/pondpin/relay/attempts/admission.py
@@ -1,4 +1,4 @@
-"""Decides whether a request may go on: route, key, freshness and time."""
+"""Admits requests by route, key, age of the configuration and remaining time."""
 
 import math
 from dataclasses import dataclass
@@ -11,25 +11,25 @@
 from pondpin.relay.model import RelayConfiguration, RequestFacts, Route
 from pondpin.relay.published.freshness import Proof
 
-# A missing route or key may be new: refusals are final while the version was proved this lately.
+# An unknown route or key may be new: refusals are final only if the last proof is younger.
 FRESH_PROOF_SECONDS = 1.9
-# A caller comes back at once to an instance that may have heard what this one, alone, has not.
+# Callers retry at once, as another instance may have a newer configuration.
 RETRY_SECONDS = 0.3
-# While peers are heard and none has a proof, the source is away for all: callers come back spread
-# over half to one and a half times this.
+# If peers are seen and none has a proof, the source is down for all instances: retries are spread
+# over 0.5 to 1.5 times this.
 OUTAGE_RETRY_SECONDS = 1.4
 HASH_RANGE = 1 << 32
-# A caller that doesn't say how long it waits is served for this long at most.
+# Limit for requests without a deadline.
 DEFAULT_DEADLINE_SECONDS = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionState:
-    """What an instance goes by when it admits.
+    """The state by which requests are admitted.
 
-    key_bound: seconds after its last proof for which the configuration admits keys; None when
-    keys need no proof. hears_peers: whether any peer was heard lately. behind: for how many seconds
-    a peer has had a newer configuration; behind_bound: for how many this may be.
+    max_proof_age: seconds after the last proof for which keys are accepted; None if keys need no
+    proof. has_live_peers: whether any peer was seen lately. behind_seconds: for how long a peer has
+    had a newer configuration.
     """
 
     configuration: RelayConfiguration | None
@@ -40,7 +40,7 @@
     max_behind_seconds: float = math.inf
 
     def proof_age(self, now: float) -> float:
-        """Seconds since the version in force was proved."""
+        """Seconds since the last proof of the version in force."""
         return self.proof.age(now) if self.proof is not None else float("inf")
 
     def accepts_keys(self, now: float) -> bool:
@@ -48,7 +48,7 @@
         return self.max_proof_age is None or self.proof_age(now) < self.max_proof_age
 
     def retry_seconds(self, request: str) -> float:
-        """When a request that no proof lets through had better come back."""
+        """Retry delay of a request that is refused for want of a proof."""
         if not self.has_live_peers:
             return RETRY_SECONDS
         share = xxhash.xxh32_intdigest(request.encode()) / HASH_RANGE
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """A request that may go on; rank 0 is the most urgent."""
+    """An admitted request; rank 0 is the most urgent."""
 
     configuration: RelayConfiguration
     route: Route
@@ -66,20 +66,20 @@
     timeout: float
 
 
-def admit(beliefs: AdmissionState, facts: RequestFacts, path: str, now: float) -> Admitted:
-    """Admit a request, or raise PondpinError with a truthful 'not run'."""
-    configuration = beliefs.configuration
+def admit(state: AdmissionState, facts: RequestFacts, path: str, now: float) -> Admitted:
+    """Admit a request, or raise PondpinError that says that it has not run."""
+    configuration = state.configuration
     if configuration is None:
         raise PondpinError(Code.NOT_READY, retry_after=RETRY_SECONDS)
     route = find_route(configuration, facts.host, path)
     if route is None:
-        raise _missing(Code.UNKNOWN_PATH, beliefs, facts, now)
+        raise _not_found(Code.UNKNOWN_PATH, state, facts, now)
     account, rank = "", route.priority
     if needs_key(configuration, route):
         found = find_account(configuration, facts.key)
         if found is None:
-            raise _missing(Code.UNKNOWN_KEY, beliefs, facts, now)
-        check_proof(beliefs, facts, now)
+            raise _not_found(Code.UNKNOWN_KEY, state, facts, now)
+        check_proof(state, facts, now)
         account = found.name
         rank = route.priority if found.priority is None else found.priority
     seconds = DEFAULT_DEADLINE_SECONDS if facts.deadline is None else facts.deadline
@@ -90,29 +90,29 @@
     return Admitted(configuration, route, account, max(0, min(9, rank)), seconds)
 
 
-def check_proof(beliefs: AdmissionState, facts: RequestFacts, now: float) -> None:
-    """Raise PondpinError when the last proof is too old to serve a key by."""
-    if not beliefs.accepts_keys(now):
-        detail = f"{beliefs.proof_age(now):.2f} s old"
-        retry_after = beliefs.retry_seconds(facts.attempt_id)
+def check_proof(state: AdmissionState, facts: RequestFacts, now: float) -> None:
+    """Raise PondpinError if the last proof is too old to accept keys."""
+    if not state.accepts_keys(now):
+        detail = f"{state.proof_age(now):.2f} s old"
+        retry_after = state.retry_seconds(facts.attempt_id)
         raise PondpinError(Code.NOT_PROVED, detail, retry_after=retry_after)
 
 
-def check_not_behind(beliefs: AdmissionState) -> None:
-    """Raise PondpinError when peers have had a newer configuration for too long.
+def check_not_behind(state: AdmissionState) -> None:
+    """Raise PondpinError if peers have had a newer configuration for too long.
 
-    The operators count on it by then, and a peer that has it can serve the request. What was
-    admitted before goes on.
+    Operators rely on it by then, and a peer that has it can serve the request. Requests admitted
+    before continue.
     """
-    if beliefs.behind_seconds >= beliefs.max_behind_seconds:
-        detail = f"behind a newer configuration for {beliefs.behind_seconds:.2f} s"
+    if state.behind_seconds >= state.max_behind_seconds:
+        detail = f"behind a newer configuration for {state.behind_seconds:.2f} s"
         raise PondpinError(Code.NOT_PROVED, detail, retry_after=RETRY_SECONDS)
 
 
-def _missing(code: Code, beliefs: AdmissionState, facts: RequestFacts, now: float) -> PondpinError:
-    age = beliefs.proof_age(now)
+def _not_found(code: Code, state: AdmissionState, facts: RequestFacts, now: float) -> PondpinError:
+    age = state.proof_age(now)
     if age < FRESH_PROOF_SECONDS:
         return PondpinError(code)
     detail = f"{code.name}, but the configuration is {age:.2f} s old"
-    retry_after = beliefs.retry_seconds(facts.attempt_id)
+    retry_after = state.retry_seconds(facts.attempt_id)
     return PondpinError(Code.NOT_PROVED, detail, retry_after=retry_after)
--- a/pondpin/relay/attempts/attempt.py
+++ b/pondpin/relay/attempts/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at an upstream: sends the request, checks the head, passes whole events on."""
+"""One attempt at an upstream: sends the request, checks the head, forwards complete events."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,97 +15,97 @@
 from pondpin.relay.ports import Dialect, Forwarded, PartPlace
 
 OK = 200
-# A caller gives a stream up after its patience; another upstream needs the rest of it.
-LONGEST_SHARE = 0.85
-# How often a silent stream is looked at, and how long one is waited for that is cut off.
-LOOK_SECONDS = 0.25
-CUT_SECONDS = 0.5
+# Silence may take this share of the caller's timeout; a retry needs the rest.
+MAX_SILENCE_SHARE = 0.85
+# Interval of checks on a silent stream, and the stall timeout at a partitioned upstream.
+POLL_SECONDS = 0.25
+PARTITION_SECONDS = 0.5
 FIRST_FAILURE = 300
 
 
 class AttemptObserver(Protocol):
-    """Is told what an attempt hears of its upstream."""
+    """Receives what an attempt observes of its upstream, and decides on retries."""
 
     def on_head(self, head: AnswerHead) -> None:
-        """The head of the answer came."""
+        """Handle the head of the answer."""
         ...
 
     def on_first_event(self) -> None:
-        """The first event of this attempt came."""
+        """Handle the first event of this attempt."""
         ...
 
     def on_data(self, now: float) -> None:
-        """Any byte came."""
+        """Handle the receipt of any byte."""
         ...
 
     def busy_until(self, now: float) -> float:
-        """Until when the upstream's silence is explained by what it is known to read."""
+        """Until when known prefills explain the upstream's silence."""
         ...
 
     def is_partitioned(self, now: float) -> bool:
-        """Whether the upstream is probably out of reach."""
+        """Whether the upstream is probably unreachable."""
         ...
 
     async def query_status(self) -> bool:
-        """Ask the upstream whether it lives."""
+        """Ask the upstream for its status; whether it answers."""
         ...
 
     def may_retry(self) -> bool:
-        """Whether another upstream may still take the request."""
+        """Whether another upstream may still get the request."""
         ...
 
     def withhold_reason(self) -> str:
-        """Why the request must not be sent at this moment, empty when it may."""
+        """Why the request must not be sent now; empty if it may."""
         ...
 
 
 class EventSink:
-    """Passes the whole events of an answer on to the caller, in order and none twice."""
+    """Forwards complete events to the caller, in order and without duplicates."""
 
     def __init__(
         self,
         call: RelayCall,
         progress: Progress,
         clock: Clock,
-        begin: Callable[[], None],
-        watcher: AttemptObserver,
+        start_reply: Callable[[], None],
+        observer: AttemptObserver,
     ) -> None:
         self._call = call
         self._progress = progress
         self._clock = clock
-        self._begin = begin
-        self._watcher = watcher
+        self._start_reply = start_reply
+        self._observer = observer
         self._splitter = EventSplitter()
-        self._seen = False
+        self._has_events = False
         self.last_data_at = clock()
         self.ended: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self.stream: OpenStream | None = None
 
     def on_data(self, data: bytes) -> None:
-        """Take a piece of the body."""
+        """Handle a chunk of the body."""
         self.last_data_at = self._clock()
-        self._watcher.on_data(self.last_data_at)
+        self._observer.on_data(self.last_data_at)
         try:
             events = self._splitter.feed(data)
         except ValueError:
             self._finish(False)
             return
-        fresh = [item for item in events if self._is_new(item.number)]
-        if not fresh:
+        new = [item for item in events if self._is_new(item.number)]
+        if not new:
             return
-        if not self._seen:
-            self._seen = True
-            self._watcher.on_first_event()
-        self._begin()
-        for item in fresh:
+        if not self._has_events:
+            self._has_events = True
+            self._observer.on_first_event()
+        self._start_reply()
+        for item in new:
             self._progress.note_event(item.number, self.last_data_at)
-        self._call.reply.write(b"".join(item.data for item in fresh))
+        self._call.reply.write(b"".join(item.data for item in new))
 
     def _is_new(self, number: int) -> bool:
         return number < 0 or number > self._progress.last_number
 
     def on_end(self, whole: bool) -> None:
-        """Take the end; half an event at the end means that the answer was cut."""
+        """Handle the end; a partial event at the end means a truncated answer."""
         self._finish(whole and not self._splitter.has_partial)
 
     def _finish(self, whole: bool) -> None:
@@ -127,14 +127,14 @@
         plan: Plan,
         parts: tuple[PartPlace, ...],
         progress: Progress,
-        patience: StallTimeouts,
-        watcher: AttemptObserver,
+        timeouts: StallTimeouts,
+        observer: AttemptObserver,
     ) -> AttemptEnd:
-        """Make the attempt. Never raises but for cancellation, which drops the connection."""
+        """Run the attempt. Raises only on cancellation, which drops the connection."""
         began = self._clock()
         exact = self._exact_call(call, plan, parts, progress, began)
         try:
-            start = await self._wait_for_head(call, exact, patience, watcher, began)
+            start = await self._wait_for_head(call, exact, timeouts, observer, began)
         except WithheldError as error:
             return AttemptEnd(EndKind.WITHHELD, str(error))
         except CallFailedError as error:
@@ -143,39 +143,39 @@
         if start is None:
             return AttemptEnd(EndKind.STALLED, "no answer in time")
         head = self._dialect.read_head(start.status, start.raw_headers)
-        watcher.on_head(head)
+        observer.on_head(head)
         fault = self._check_head(call, head)
         if fault:
             start.abort()
             return AttemptEnd(EndKind.INVALID, fault)
         if head.events and head.status == OK:
-            return await self._pass_events(call, start, head, progress, patience, watcher, began)
+            return await self._relay_events(call, start, head, progress, timeouts, observer, began)
         return await self._read_whole(call, start, head, began)
 
     async def _wait_for_head(
         self,
         call: RelayCall,
         exact: ExactCall,
-        patience: StallTimeouts,
-        watcher: AttemptObserver,
+        timeouts: StallTimeouts,
+        observer: AttemptObserver,
         began: float,
     ) -> StreamStart | None:
-        """Send and wait for the head; None when patience or time is over."""
-        # A call that may not be repeated gets a new connection: failing to connect then
-        # proves that nothing was sent.
-        fresh = not call.route.idempotent
+        """Send and wait for the head; None after the stall timeout or the deadline."""
+        # A call that must not be repeated gets a new connection: a failure to connect then proves
+        # that nothing was sent.
+        new_connection = not call.route.idempotent
         opening = asyncio.ensure_future(
-            self._http.open_exact(exact, fresh, watcher.withhold_reason)
+            self._http.open_exact(exact, new_connection, observer.withhold_reason)
         )
         try:
             while True:
-                left = self._time_left(call, patience.first_event_seconds, began, watcher)
+                left = self._stall_time_left(call, timeouts.first_event_seconds, began, observer)
                 if left <= 0:
                     return None
-                done, _ = await asyncio.wait((opening,), timeout=min(left, LOOK_SECONDS))
+                done, _ = await asyncio.wait((opening,), timeout=min(left, POLL_SECONDS))
                 if done:
                     return opening.result()
-                if await self._is_given_up(patience, watcher, began):
+                if await self._is_unresponsive(timeouts, observer, began):
                     return None
         finally:
             opening.cancel()
@@ -208,40 +208,38 @@
             body=call.incoming.body,
         )
 
-    async def _is_given_up(
-        self, patience: StallTimeouts, watcher: AttemptObserver, heard_at: float
+    async def _is_unresponsive(
+        self, timeouts: StallTimeouts, observer: AttemptObserver, since: float
     ) -> bool:
-        """Ask an upstream that has been silent for long; True when it does not answer and another
-        one may take the request.
-        """
-        if patience.query_seconds is None or self._clock() - heard_at < patience.query_seconds:
+        """Query a silent upstream's status; True if it doesn't answer and a retry is possible."""
+        if timeouts.query_seconds is None or self._clock() - since < timeouts.query_seconds:
             return False
-        return not await watcher.query_status() and watcher.may_retry()
+        return not await observer.query_status() and observer.may_retry()
 
-    def _time_left(
-        self, call: RelayCall, limit: float | None, heard_at: float, watcher: AttemptObserver
+    def _stall_time_left(
+        self, call: RelayCall, limit: float | None, since: float, observer: AttemptObserver
     ) -> float:
         """Seconds until an attempt counts as stalled.
 
-        Silence ends it only when another upstream may take the request at that moment: a key may
-        have been taken away, or the budget spent, since it was sent.
+        Silence ends it only if a retry is possible at that moment: the key may have been revoked,
+        or the retry budget spent, since the request was sent.
         """
         if limit is None:
-            return self._limit(call, None, heard_at)
-        explained = self._explained_limit(call, heard_at, limit, watcher)
-        left = self._limit(call, explained, heard_at)
-        if left <= 0 and not watcher.may_retry():
-            return self._limit(call, None, heard_at)
+            return self._time_left(call, None, since)
+        timeout = self._stall_timeout(call, since, limit, observer)
+        left = self._time_left(call, timeout, since)
+        if left <= 0 and not observer.may_retry():
+            return self._time_left(call, None, since)
         return left
 
-    def _limit(self, call: RelayCall, patience: float | None, began: float) -> float:
+    def _time_left(self, call: RelayCall, timeout: float | None, since: float) -> float:
         left = max(0.0, call.deadline - self._clock())
-        if patience is None:
+        if timeout is None:
             return left
-        return min(left, max(0.0, began + patience - self._clock()))
+        return min(left, max(0.0, since + timeout - self._clock()))
 
     def _check_head(self, call: RelayCall, head: AnswerHead) -> str:
-        """Why the answer can't belong to the request, empty when it does."""
+        """Why the answer can't belong to the request; empty if it does."""
         if head.attempt_id and head.attempt_id != call.id:
             return f"an answer to {head.attempt_id}"
         if head.status < FIRST_FAILURE and not head.attempt_id:
@@ -254,7 +252,7 @@
         self, call: RelayCall, start: StreamStart, head: AnswerHead, began: float
     ) -> AttemptEnd:
         try:
-            body = await asyncio.wait_for(start.read(), self._limit(call, None, began))
+            body = await asyncio.wait_for(start.read(), self._time_left(call, None, began))
         except CallFailedError as error:
             return AttemptEnd(EndKind.BROKEN, str(error))
         except TimeoutError:
@@ -264,28 +262,28 @@
         answer = WholeReply(head.status, head.headers, body)
         return AttemptEnd(EndKind.ANSWERED, answer=answer)
 
-    async def _pass_events(
+    async def _relay_events(
         self,
         call: RelayCall,
         start: StreamStart,
         head: AnswerHead,
         progress: Progress,
-        patience: StallTimeouts,
-        watcher: AttemptObserver,
+        timeouts: StallTimeouts,
+        observer: AttemptObserver,
         began: float,
     ) -> AttemptEnd:
-        def begin() -> None:
+        def start_reply() -> None:
             if not progress.head_sent:
                 progress.head_sent = True
                 call.reply.start_exact(head.status, head.headers)
 
-        sink = EventSink(call, progress, self._clock, begin, watcher)
+        sink = EventSink(call, progress, self._clock, start_reply, observer)
         sink.last_data_at = began
         stream = start.deliver(sink)
         sink.stream = stream
         call.reply.follow(stream)
         try:
-            whole = await self.wait_for_end(call, sink, progress, patience, watcher)
+            whole = await self.wait_for_end(call, sink, progress, timeouts, observer)
         finally:
             call.reply.unfollow()
             if not sink.ended.done() or not sink.ended.result():
@@ -294,7 +292,7 @@
             return AttemptEnd(EndKind.STALLED, "no event in time")
         if not whole:
             return AttemptEnd(EndKind.BROKEN, "the stream broke off")
-        begin()
+        start_reply()
         return AttemptEnd(EndKind.DONE)
 
     async def wait_for_end(
@@ -302,30 +300,29 @@
         call: RelayCall,
         sink: EventSink,
         progress: Progress,
-        patience: StallTimeouts,
-        watcher: AttemptObserver,
+        timeouts: StallTimeouts,
+        observer: AttemptObserver,
     ) -> bool | None:
-        """Whether the stream ended whole; None when it stalled or the deadline passed."""
+        """Whether the stream is complete; None if it stalled or the deadline passed."""
         before = progress.events
         while True:
             limit = (
-                patience.first_event_seconds if progress.events == before else patience.gap_seconds
+                timeouts.first_event_seconds if progress.events == before else timeouts.gap_seconds
             )
-            left = self._time_left(call, limit, sink.last_data_at, watcher)
+            left = self._stall_time_left(call, limit, sink.last_data_at, observer)
             if left <= 0:
                 return None
-            done, _ = await asyncio.wait((sink.ended,), timeout=min(left, LOOK_SECONDS))
+            done, _ = await asyncio.wait((sink.ended,), timeout=min(left, POLL_SECONDS))
             if done:
                 return sink.ended.result()
-            if await self._is_given_up(patience, watcher, sink.last_data_at):
+            if await self._is_unresponsive(timeouts, observer, sink.last_data_at):
                 return None
 
-    def _explained_limit(
-        self, call: RelayCall, heard_at: float, limit: float, watcher: AttemptObserver
+    def _stall_timeout(
+        self, call: RelayCall, since: float, limit: float, observer: AttemptObserver
     ) -> float:
-        """The patience with a silent upstream, by what is known of it."""
         now = self._clock()
-        if watcher.is_partitioned(now):
-            return min(limit, CUT_SECONDS)
-        explained = watcher.busy_until(now) - heard_at
-        return max(limit, min(explained, LONGEST_SHARE * call.patience))
+        if observer.is_partitioned(now):
+            return min(limit, PARTITION_SECONDS)
+        busy = observer.busy_until(now) - since
+        return max(limit, min(busy, MAX_SILENCE_SHARE * call.patience))
--- a/pondpin/relay/attempts/attempt_ends.py
+++ b/pondpin/relay/attempts/attempt_ends.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt means: who was at fault, whether to try again, what may be said."""
+"""Evaluates the end of an attempt: the upstream at fault, retries and the final error."""
 
 from pondpin.codes import Code, Ran
 from pondpin.errors import PondpinError
@@ -9,12 +9,12 @@
 from pondpin.relay.upstreams.state import UpstreamState
 
 FIRST_SERVER_ERROR = 500
-# A caller whose request found no place comes back after this, in seconds.
+# Retry delay of a request for which there was no upstream.
 RETRY_SECONDS = 0.4
 
 
 def helper_at_fault(plan: Plan, end: AttemptEnd) -> UpstreamState | None:
-    """The helper that the lead names as the reason why it did not run a request."""
+    """The helper that the lead names as the reason for not running a request."""
     for state in plan.helpers:
         if end.at_fault == Endpoint(state.listed.host, state.listed.port):
             return state
@@ -22,21 +22,21 @@
 
 
 def correct_ran(error: PondpinError, progress: Progress) -> PondpinError:
-    """An error that ends a later attempt must not say that the request has not run."""
+    """Replace an error that says 'not run' if an earlier attempt may have run."""
     if not progress.may_have_run or error.ran is not Ran.NOT_RUN:
         return error
     return PondpinError(Code.UPSTREAM_LOST, f"{error.code.name}: {error.detail}", Ran.UNKNOWN)
 
 
 def is_retryable_answer(call: RelayCall, end: AttemptEnd) -> bool:
-    """Whether an upstream's own failure may be tried again elsewhere."""
+    """Whether an upstream's own failure may be retried at another one."""
     answer = end.answer
     assert answer is not None, "an answered attempt has its answer"
     return call.route.idempotent and answer.status >= FIRST_SERVER_ERROR
 
 
 def final_error(call: RelayCall, progress: Progress, end: AttemptEnd, now: float) -> PondpinError:
-    """What a caller hears after the last attempt."""
+    """The error that a caller gets after the last attempt."""
     ran = Ran.UNKNOWN if progress.may_have_run else Ran.NOT_RUN
     detail = f"{end.kind.value}: {end.detail}"
     if not progress.may_have_run:
@@ -50,7 +50,7 @@
 
 
 def send_refusal(reply: Reply, request: str, error: PondpinError) -> None:
-    """Send an error's answer, or cut an answer that had begun."""
+    """Send an error, or abort an answer that has begun."""
     if reply.started:
         reply.abort()
         return
--- a/pondpin/relay/attempts/crash_guard.py
+++ b/pondpin/relay/attempts/crash_guard.py
@@ -1,7 +1,7 @@
-"""Holds back requests that end the workers which run them.
+"""Holds back requests that crash the workers which run them.
 
-Asks `pondpin.quarantine`, which holds the decision, before every send, and feeds it with what
-attempts, the list of upstreams and peers say of lives that ended.
+`pondpin.quarantine` decides before every send; this module feeds it the ends of upstream lives that
+attempts, the list of upstreams and peers report.
 """
 
 import asyncio
@@ -12,15 +12,9 @@
 
 from pondpin.clocks import Clock
 from pondpin.metrics import Metrics
-from pondpin.quarantine import (
-    Quarantine,
-    Turn,
-)
+from pondpin.quarantine import Quarantine, Turn
 from pondpin.relay.attempts.attempt_ends import helper_at_fault
-from pondpin.relay.attempts.run_tracker import (
-    Run,
-    RunTracker,
-)
+from pondpin.relay.attempts.run_tracker import Run, RunTracker
 from pondpin.relay.call import AttemptEnd, EndKind, Progress, RelayCall
 from pondpin.relay.choosing.planner import Plan, RelayPolicy
 from pondpin.relay.mechanisms import Mechanism
@@ -31,14 +25,14 @@
     from pondpin.relay.attempts.quarantine_records import QuarantineRecords
 
 POLL_SECONDS = 0.02
-# An instance that starts waits so long for a peer's digest, and for what that peer sends: digests
+# An instance that starts waits this long for a peer's digest and what that peer then sends: digests
 # come every 0.2 s.
-START_SECONDS = 0.3
+SYNC_WAIT_SECONDS = 0.3
 
 
 @dataclass
 class CrashGuard:
-    """The quarantine of an instance that relays."""
+    """The quarantine of a relay instance."""
 
     quarantine_sync: QuarantineSync
     tracker: RunTracker
@@ -49,21 +43,20 @@
     metrics: Metrics
 
     def __post_init__(self) -> None:
-        """Hear of ends."""
         self.quarantine: Quarantine = self.quarantine_sync.quarantine
         self.clock: Clock = self.tracker.clock
-        self.tracker.on_end = lambda seen: self.records.record_end(seen)
+        self.tracker.on_end = lambda end: self.records.record_end(end)
         self.quarantine_sync.on_received = lambda source, ends: self.records.record_peer_ends(
             source, ends
         )
-        self._made_at = self.clock()
+        self._started_at = self.clock()
 
     async def admit(self, call: RelayCall, progress: Progress) -> None:
-        """Let a request through to placement, or raise PondpinError.
+        """Admit a request to placement, or raise PondpinError.
 
-        Sets what placement must heed: whether it is suspect, and which software it may not meet.
+        Sets for placement whether the request is suspected, and which releases must not run it.
         """
-        while not self._knows_peers():
+        while not self._is_synced():
             await asyncio.sleep(POLL_SECONDS)
         if self.has_ends:
             await self.records.admit(call, progress)
@@ -71,44 +64,41 @@
             progress.suspected = False
             progress.spent_releases = frozenset()
 
-    def _knows_peers(self) -> bool:
-        """Whether peers had the time to tell what they know since this instance started."""
+    def _is_synced(self) -> bool:
+        """Whether peers had the time to send their ends since this instance started."""
         if self.quarantine_sync.is_synced or not self.quarantine_sync.hosts():
-            # All reachable peers have told what they know.
+            # All reachable peers have sent theirs.
             return True
-        return self.clock() - self._made_at >= START_SECONDS
+        return self.clock() - self._started_at >= SYNC_WAIT_SECONDS
 
     @property
     def has_ends(self) -> bool:
-        """Whether any request was running where an upstream ended, and verdicts are on."""
+        """Whether any life ended under a request, and the quarantine is enabled."""
         return bool(self.quarantine.ends_by_identity) and self.policy.has(Mechanism.QUARANTINE)
 
-    def outdated(self, call: RelayCall, progress: Progress, is_begun: bool) -> str:
-        """What holds now where a request was planned under a milder verdict; empty where not.
-
-        is_begun: the run that goes on is its own.
-        """
-        return self.records.outdated(call, progress, is_begun) if self.has_ends else ""
+    def quarantine_reason(self, call: RelayCall, progress: Progress, is_begun: bool) -> str:
+        """See QuarantineRecords."""
+        return self.records.quarantine_reason(call, progress, is_begun) if self.has_ends else ""
 
     def avoided_lives(self) -> frozenset[int]:
-        """Lives of upstreams that others had better keep off for a moment."""
+        """Lives that other requests avoid because a suspect was just sent there."""
         if not self.policy.has(Mechanism.QUARANTINE):
             return frozenset()
         return self.quarantine.shunned(self.clock())
 
     def begin(self, call: RelayCall, progress: Progress, plan: Plan) -> Run:
-        """A request is about to be sent; leave or look_after ends it."""
+        """Record a run about to be sent; abandon or finish ends it."""
         if progress.suspected:
             self.metrics.suspected.inc({"service": call.service})
             identity, life = call.identity, plan.lead.life
             self.quarantine.begin_run(identity, self.quarantine_sync.instance, life, self.clock())
             self.quarantine_sync.running_by_identity[identity] = life
             self.quarantine_sync.broadcast()
-        reading = plan.choice.part_seconds if plan.choice is not None else 0.0
-        return self.tracker.begin(call.identity, (plan.lead, *plan.helpers), reading)
+        prefill = plan.choice.part_seconds if plan.choice is not None else 0.0
+        return self.tracker.begin(call.identity, (plan.lead, *plan.helpers), prefill)
 
-    def _end(self, call: RelayCall, progress: Progress) -> None:
-        """A suspect's run is over, and what it led to was told."""
+    def _end_run(self, call: RelayCall, progress: Progress) -> None:
+        """End a suspect's run, after its outcome was broadcast."""
         identity = call.identity
         if not progress.suspected or identity not in self.quarantine_sync.running_by_identity:
             return
@@ -117,25 +107,25 @@
         self.quarantine_sync.broadcast()
 
     def abandon(self, call: RelayCall, progress: Progress, run: Run) -> None:
-        """Its caller left, or its attempt failed here."""
+        """End a run whose caller left, or whose attempt failed here."""
         self.tracker.abandon(run)
-        self._end(call, progress)
+        self._end_run(call, progress)
 
     async def finish(
         self, call: RelayCall, progress: Progress, plan: Plan, end: AttemptEnd, run: Run
     ) -> None:
-        """Find out what an attempt's end says of the upstream's life, and of the request."""
+        """End a run, and evaluate its end for the upstream's life and the request."""
         try:
-            await self._look(plan, end, run)
+            await self._check_upstream(plan, end, run)
         finally:
-            # Also when its caller leaves meanwhile: peers would take it for running on.
-            self._end(call, progress)
+            # Also if its caller leaves meanwhile: peers would think that it still runs.
+            self._end_run(call, progress)
         if end.kind in (EndKind.DONE, EndKind.ANSWERED):
             cleared = self.quarantine.note_good(call.identity, self.clock())
             if cleared:
                 self.records.unsent += cleared
 
-    async def _look(self, plan: Plan, end: AttemptEnd, run: Run) -> None:
+    async def _check_upstream(self, plan: Plan, end: AttemptEnd, run: Run) -> None:
         helper = helper_at_fault(plan, end)
         if end.kind is EndKind.BROKEN:
             await self.tracker.check(run, plan.lead)
@@ -149,12 +139,12 @@
             self.tracker.record_refused(plan.lead)
 
     def allows_retry(self, call: RelayCall, end: AttemptEnd) -> bool:
-        """Whether another upstream may get a request after an attempt."""
+        """Whether the quarantine allows a retry after an attempt."""
         return self.records.allows_retry(call, end) if self.has_ends else True
 
     @cached_property
     def records(self) -> "QuarantineRecords":
-        """Loaded with the first end of an upstream under a request."""
+        """Loaded on the first end of a life under a request."""
         from pondpin.relay.attempts.quarantine_records import QuarantineRecords
 
         return QuarantineRecords(
@@ -162,7 +152,7 @@
         )
 
     def step(self, now: float) -> None:
-        """Settle and forget ends."""
+        """Settle and expire ends."""
         self.tracker.record_unlisted()
         self.tracker.prune(now)
         self.quarantine_sync.expire(now)
--- a/pondpin/relay/attempts/events.py
+++ b/pondpin/relay/attempts/events.py
@@ -1,4 +1,4 @@
-"""Cuts a server-sent event stream into whole events."""
+"""Splits a server-sent event stream into complete events."""
 
 from dataclasses import dataclass
 
@@ -7,42 +7,42 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One whole event with its closing blank line; number is -1 without a whole-number id."""
+    """One complete event with its closing blank line; number is -1 without an integer id."""
 
     data: bytes
     number: int
 
 
 class EventSplitter:
-    """Collects bytes and gives out whole events; what is left over is half an event."""
+    """Buffers bytes and returns complete events."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
 
     @property
     def has_partial(self) -> bool:
-        """Whether part of an event was received."""
-        return bool(self._rest.strip())
+        """Whether a part of an event is buffered."""
+        return bool(self._buffer.strip())
 
     def feed(self, data: bytes) -> list[Event]:
-        """Take bytes; returns the events that they complete. Raises ValueError when too long."""
-        self._rest += data
+        """Add bytes; returns the events completed. Raises ValueError if one is too long."""
+        self._buffer += data
         found: list[Event] = []
         while True:
-            end = _find_end(self._rest)
+            end = _find_end(self._buffer)
             if end < 0:
                 break
-            found.append(_make_event(self._rest[:end]))
-            self._rest = self._rest[end:]
-        if len(self._rest) > MAX_EVENT_BYTES:
-            raise ValueError(f"an event of over {MAX_EVENT_BYTES} bytes")
+            found.append(_make_event(self._buffer[:end]))
+            self._buffer = self._buffer[end:]
+        if len(self._buffer) > MAX_EVENT_BYTES:
+            raise ValueError(f"event of more than {MAX_EVENT_BYTES} bytes")
         return found
 
 
 def _find_end(data: bytes) -> int:
-    plain = data.find(b"\n\n")
-    full = data.find(b"\r\n\r\n")
-    ends = [end for end in (plain + 2 if plain >= 0 else 0, full + 4 if full >= 0 else 0) if end]
+    lf = data.find(b"\n\n")
+    crlf = data.find(b"\r\n\r\n")
+    ends = [end for end in (lf + 2 if lf >= 0 else 0, crlf + 4 if crlf >= 0 else 0) if end]
     return min(ends) if ends else -1
 
 
--- a/pondpin/relay/attempts/handler.py
+++ b/pondpin/relay/attempts/handler.py
@@ -11,12 +11,7 @@
 from pondpin.errors import PondpinError
 from pondpin.http_reply import Incoming, Reply
 from pondpin.metrics import Metrics
-from pondpin.relay.attempts.admission import (
-    AdmissionState,
-    Admitted,
-    admit,
-    check_not_behind,
-)
+from pondpin.relay.attempts.admission import AdmissionState, Admitted, admit, check_not_behind
 from pondpin.relay.attempts.attempt import AttemptRunner
 from pondpin.relay.attempts.attempt_ends import (
     FIRST_SERVER_ERROR,
@@ -48,19 +43,18 @@
     from pondpin.relay.upstreams.leases import LeaseGroup, LeaseManager
     from pondpin.relay.upstreams.reports import ReportClient
 
-# Upstreams tried for a request, counting those that no byte reached.
-MOST_ATTEMPTS = 5
-# A caller that kept its connection to a stopping instance finds another one at once.
+# Limit of attempts for a request, including those that sent nothing.
+MAX_ATTEMPTS = 5
+# The caller of a stopping instance finds another one at once.
 STOPPING_RETRY_SECONDS = 0.05
-# Why a request goes nowhere else that has been everywhere.
-NOBODY = "no other upstream"
-# Forecasts of reading err by a few hundred milliseconds.
-READING_SLACK_SECONDS = 0.4
+ALL_TRIED = "no other upstream"
+# Forecasts of prefills err by a few hundred milliseconds.
+PREFILL_SLACK_SECONDS = 0.4
 
 
 @dataclass
 class RelayHandler:
-    """Takes requests off the callers' server and relays them."""
+    """Relays the requests of callers."""
 
     dialect: Dialect
     runner: AttemptRunner
@@ -84,10 +78,9 @@
     refuses_new: Callable[[float], bool] = lambda now: False
 
     def __post_init__(self) -> None:
-        """Set up the state."""
         self.open_requests = 0
         self.request_log = RequestLog(self.log, self.metrics, self.clock)
-        self._judge = PassiveHealth(
+        self._health = PassiveHealth(
             self.table, self.notice_handler, self.metrics, self.log, self.clock
         )
         self._windows: dict[str, RetryWindow] = {}
@@ -101,9 +94,9 @@
         try:
             if self.refuses_new(arrived):
                 raise PondpinError(Code.DRAINING, retry_after=STOPPING_RETRY_SECONDS)
-            beliefs = self.admission_state()
-            check_not_behind(beliefs)
-            admitted = admit(beliefs, facts, incoming.path, arrived)
+            state = self.admission_state()
+            check_not_behind(state)
+            admitted = admit(state, facts, incoming.path, arrived)
             route = admitted.route
             call = self._make_call(incoming, reply, facts, admitted, arrived)
             self._window(call.service).record_request(arrived)
@@ -139,11 +132,10 @@
         )
 
     async def _serve_unless_gone(self, call: RelayCall) -> None:
-        """Serve; a caller that leaves ends the work unless it may not be repeated.
+        """Serve a request; if its caller leaves, cancel it unless it must not be repeated.
 
-        A request may have been read long after its caller sent it and left. The end of its
-        connection is read just after it, so the first step waits for that: otherwise a kept
-        connection would carry the request to an upstream at once.
+        A request may be read long after its caller left. Yield once to read the close that follows
+        it, before the request is sent to an upstream on a kept connection.
         """
         await asyncio.sleep(0)
         if call.reply.gone:
@@ -180,22 +172,22 @@
             if end.kind is EndKind.DONE:
                 self._finish_stream(call, progress)
                 return
-            why_not = self._why_not_again(call, progress, end)
-            self.request_log.attempt_ended(call, progress, end, why_not)
-            if not why_not:
+            reason = self._final_reason(call, progress, end)
+            self.request_log.attempt_ended(call, progress, end, reason)
+            if not reason:
                 continue
             if end.answer is not None and not progress.head_sent:
                 self._send_whole(call, progress, end)
                 return
-            if why_not == NOBODY and not progress.may_have_run:
+            if reason == ALL_TRIED and not progress.may_have_run:
                 raise self.placer.unavailable_error(call, progress)
             raise final_error(call, progress, end, self.clock())
 
     async def _attempt(self, call: RelayCall, progress: Progress) -> AttemptEnd:
-        """Plan and run one attempt; raises PondpinError when nothing can take the request."""
+        """Plan and run one attempt."""
         plan, group = await self.placer.place(call, progress)
         key = self.planner.begin_attempt(call, progress, plan)
-        keeper = self._keep_leases(group, plan, progress)
+        lease_task = self._keep_leases(group, plan, progress)
         progress.upstream, progress.life = plan.lead.id, plan.lead.life
         began = self.clock()
         run = self.crash_guard.begin(call, progress, plan)
@@ -209,17 +201,17 @@
                 group.places if group is not None else plan.helper_endpoints,
                 progress,
                 stall_timeouts_for(call, plan, self.policy, self.may_retry(call, progress)),
-                _Watcher(self, call, progress, plan, key, run),
+                _Observer(self, call, progress, plan, key, run),
             )
         except BaseException:
             self.crash_guard.abandon(call, progress, run)
             raise
         finally:
             self.planner.end_attempt(plan, key)
-            if keeper is not None and group is not None:
-                keeper.cancel()
+            if lease_task is not None and group is not None:
+                lease_task.cancel()
                 self.leases().release(group)
-        self._judge.observe_end(plan, end, began)
+        self._health.observe_end(plan, end, began)
         await self.crash_guard.finish(call, progress, plan, end, run)
         helper = helper_at_fault(plan, end)
         if helper is not None:
@@ -237,11 +229,11 @@
         return asyncio.ensure_future(keeping)
 
     def may_retry(self, call: RelayCall, progress: Progress) -> bool:
-        """Whether another attempt could follow the present one, by what is in force now."""
-        if progress.sends + 1 >= call.route.attempts or progress.attempts >= MOST_ATTEMPTS:
+        """Whether another attempt could follow the present one, by the state now."""
+        if progress.sends + 1 >= call.route.attempts or progress.attempts >= MAX_ATTEMPTS:
             return False
         if progress.suspected:
-            # It may still run where it is, and runs at one upstream at a time.
+            # It may still be running, and a suspect runs at one upstream at a time.
             return False
         try:
             self.send_checks.check_key(call)
@@ -250,25 +242,25 @@
             return False
         return self._window(call.service).has_budget(self.clock(), self.instance_count())
 
-    def _why_not_again(self, call: RelayCall, progress: Progress, end: AttemptEnd) -> str:
-        """Why no other upstream may get the request now, empty when one may; spends the budget."""
+    def _final_reason(self, call: RelayCall, progress: Progress, end: AttemptEnd) -> str:
+        """Why no attempt may follow, empty if one may; that spends the retry budget."""
         now = self.clock()
-        used_up = progress.sends >= call.route.attempts or progress.attempts >= MOST_ATTEMPTS
+        used_up = progress.sends >= call.route.attempts or progress.attempts >= MAX_ATTEMPTS
         is_withheld = end.kind is EndKind.WITHHELD
         if not is_withheld:
-            # What was withheld may go there later: its upstream has not seen it.
+            # The upstream has not seen a withheld request, and may get it later.
             progress.tried |= {progress.life}
-        # What may not be repeated runs on without its caller, but is not sent once more.
-        bars = (
+        # A request that must not be repeated continues without its caller, but is not retried.
+        conditions = (
             (end.kind is EndKind.ANSWERED and not is_retryable_answer(call, end), "answered"),
             (call.reply.gone, "its caller left"),
             (progress.may_have_run and not call.route.idempotent, "it may not run twice"),
             (used_up, "its attempts are used up"),
             (now >= call.deadline, "its time is over"),
             (not self.crash_guard.allows_retry(call, end), "upstreams ended under it"),
-            (not self.table.candidates(call.service, now, progress.tried), NOBODY),
+            (not self.table.candidates(call.service, now, progress.tried), ALL_TRIED),
         )
-        for holds, reason in bars:
+        for holds, reason in conditions:
             if holds:
                 return reason
         # Not a retry: the request never reached an upstream.
@@ -279,9 +271,9 @@
         self.metrics.retries.inc({"service": call.service, "after": end.kind.value})
         return ""
 
-    def on_head(self, plan: Plan, head: AnswerHead, asked_at: float) -> None:
-        """The head of an answer came, to a request that was placed at a moment."""
-        self._judge.observe_head(plan, head, asked_at)
+    def on_head(self, plan: Plan, head: AnswerHead, sent_at: float) -> None:
+        """Handle the head of an answer to a request that was sent at a moment."""
+        self._health.observe_head(plan, head, sent_at)
 
     def _send_whole(self, call: RelayCall, progress: Progress, end: AttemptEnd) -> None:
         answer = end.answer
@@ -304,8 +296,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Watcher:
-    """Notes what an attempt hears of its upstream."""
+class _Observer:
+    """Applies what an attempt observes of its upstream."""
 
     handler: RelayHandler
     call: RelayCall
@@ -315,38 +307,30 @@
     run: Run
 
     def on_head(self, head: AnswerHead) -> None:
-        """See Watcher."""
         self.handler.on_head(self.plan, head, self.run.began)
 
     def on_first_event(self) -> None:
-        """See Watcher."""
         self.run.answered_at = self.handler.clock()
         self.handler.planner.record_first_event(self.plan, self.key)
 
     def on_data(self, now: float) -> None:
-        """See Watcher."""
         self.plan.lead.last_seen_at = self.run.last_data_at = now
 
     def busy_until(self, now: float) -> float:
-        """See Watcher."""
-        return self.plan.lead.prefill_end(now) + READING_SLACK_SECONDS
+        return self.plan.lead.prefill_end(now) + PREFILL_SLACK_SECONDS
 
     async def query_status(self) -> bool:
-        """See Watcher."""
         return await self.handler.reports().query_status(self.plan.lead)
 
     def may_retry(self) -> bool:
-        """See Watcher."""
         return self.handler.may_retry(self.call, self.progress)
 
     def withhold_reason(self) -> str:
-        """See Watcher."""
         return self.handler.send_checks.withhold_reason(
             self.call, self.progress, self.plan, is_begun=True
         )
 
     def is_partitioned(self, now: float) -> bool:
-        """See Watcher."""
         lead = self.plan.lead
         return lead.ended or lead.needs_probe or self.handler.table.is_partitioned(lead, now)
 
--- a/pondpin/relay/attempts/liveness_checks.py
+++ b/pondpin/relay/attempts/liveness_checks.py
@@ -1,4 +1,4 @@
-"""Finds out whether a life of an upstream ended, and which requests were there."""
+"""Checks whether a life of an upstream ended, and which requests ran there."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,88 +15,90 @@
 from pondpin.relay.upstreams.state import UpstreamState
 from pondpin.request_identity import show
 
-# A second try waits so long for the answer of such a connection: ways there and back take 4 ms.
+# A retry waits this long for the result of a check: a round trip takes 4 ms.
 ANSWER_SECONDS = 0.06
 MILLISECONDS = 1000
 
 
 class LivenessChecks:
-    """Connects to upstreams that requests lost, for the life watch whose requests they are."""
+    """Connects to upstreams whose connections broke, for a run tracker."""
 
-    def __init__(self, watch: RunTracker) -> None:
-        self._watch = watch
-        self._looks_by_life: dict[int, asyncio.Task[None]] = {}
+    def __init__(self, tracker: RunTracker) -> None:
+        self._tracker = tracker
+        self._checks_by_life: dict[int, asyncio.Task[None]] = {}
 
     async def check(self, run: Run, state: UpstreamState) -> None:
-        """A request broke off: find out whether its upstream's life has ended."""
-        run.ended_at = self._watch.clock()
-        # A worker may also leave by taking its entry away: its end is planned then.
-        run.broken = self._watch.table.is_in_service(state)
+        """Check whether the upstream's life ended after a request broke off there."""
+        run.ended_at = self._tracker.clock()
+        # A worker may also leave by removing its entry: then its end is planned.
+        run.broken = self._tracker.table.is_in_service(state)
         if run.broken:
             await asyncio.wait((self.start_check(state),), timeout=ANSWER_SECONDS)
 
     def start_check(self, state: UpstreamState) -> "asyncio.Task[None]":
-        """Connect to an upstream; requests that broke off together share the answer."""
-        task = self._looks_by_life.get(state.life)
+        """Connect to an upstream; requests that break off together share one check."""
+        task = self._checks_by_life.get(state.life)
         if task is None:
-            task = asyncio.get_running_loop().create_task(self._look(state))
-            self._looks_by_life[state.life] = task
-            task.add_done_callback(lambda _: self._looks_by_life.pop(state.life, None))
+            task = asyncio.get_running_loop().create_task(self._connect(state))
+            self._checks_by_life[state.life] = task
+            task.add_done_callback(lambda _: self._checks_by_life.pop(state.life, None))
         return task
 
-    async def _look(self, state: UpstreamState) -> None:
-        began = self._watch.clock()
-        answer = await self._watch.reach(state.listed.host, state.listed.port)
-        runs = self._watch.runs(state)
-        self._watch.log.write(
+    async def _connect(self, state: UpstreamState) -> None:
+        began = self._tracker.clock()
+        answer = await self._tracker.reach(state.listed.host, state.listed.port)
+        runs = self._tracker.runs(state)
+        self._tracker.log.write(
             UpstreamEnded(
                 upstream=state.id,
                 answer=answer.value,
-                after_ms=round((self._watch.clock() - began) * MILLISECONDS),
-                ran=tuple(_tell(run, began) for run in runs),
+                after_ms=round((self._tracker.clock() - began) * MILLISECONDS),
+                ran=tuple(_describe_run(run, began) for run in runs),
             )
         )
-        if answer is Reach.REFUSED and self._watch.table.is_in_service(state):
+        if answer is Reach.REFUSED and self._tracker.table.is_in_service(state):
             self.record_refused(state)
 
     def record_refused(self, state: UpstreamState) -> None:
-        """Nobody listens at an upstream's place: those that were there a moment ago are noted."""
-        self._end(state, LATE_START_SECONDS, lambda run: True)
+        """Record the end of a life that refuses connections, with its recent runs."""
+        self._record_end(state, LATE_START_SECONDS, lambda run: True)
 
     def record_unlisted(self) -> None:
-        """Note the ends of lives that are listed no more since requests broke off there."""
-        broken = {
+        """Record the ends of lives that are no longer listed since requests broke off there."""
+        unlisted = {
             run.upstreams[0].life: run.upstreams[0]
-            for runs in self._watch.runs_by_life.values()
+            for runs in self._tracker.runs_by_life.values()
             for run in runs
-            if run.broken and self._watch.table.by_life(run.upstreams[0].life) is None
+            if run.broken and self._tracker.table.by_life(run.upstreams[0].life) is None
         }
-        for state in broken.values():
-            self._end(state, LIST_LAG_SECONDS, lambda run: run.broken)
-
-    def _end(self, state: UpstreamState, seconds: float, counts: Callable[[Run], bool]) -> None:
-        now = self._watch.clock()
-        runs = self._watch.runs_by_life.pop(state.life, [])
-        found = tuple(run for run in runs if run.was_running(now, seconds) and counts(run))
-        # One that is still open may yet show that the life goes on.
+        for state in unlisted.values():
+            self._record_end(state, LIST_LAG_SECONDS, lambda run: run.broken)
+
+    def _record_end(
+        self, state: UpstreamState, seconds: float, includes: Callable[[Run], bool]
+    ) -> None:
+        now = self._tracker.clock()
+        runs = self._tracker.runs_by_life.pop(state.life, [])
+        found = tuple(run for run in runs if run.was_running(now, seconds) and includes(run))
+        # A request that is still open may yet show that the life goes on.
         still_open = [run for run in runs if run.ended_at is None]
         if still_open:
-            self._watch.runs_by_life[state.life] = still_open
+            self._tracker.runs_by_life[state.life] = still_open
         if found:
-            self._watch.on_end(ObservedEnd(state, now, found))
+            self._tracker.on_end(ObservedEnd(state, now, found))
 
     def active_since(self, life: int, since: float) -> bool:
-        """Whether a request that it answers, from before a moment, was heard of after it.
+        """Whether a life sent data after a moment, in answer to a request from before it.
 
-        A word on a new connection would not do: it may be a later life's at the same place. Nor
-        a stream of which it has read a part: its lead writes on.
+        Data on a newer connection proves nothing: it may come from a later life at the same
+        address. Nor does a stream of which the upstream prefilled a part: its lead continues it.
         """
-        runs = self._watch.runs_by_life.get(life, ())
+        runs = self._tracker.runs_by_life.get(life, ())
         return any(
             run.began < since < run.last_data_at and run.is_answered_by(life) for run in runs
         )
 
 
-def _tell(run: Run, now: float) -> str:
+def _describe_run(run: Run, now: float) -> str:
     since = round((now - run.began) * MILLISECONDS)
     return f"{show(run.identity)} {since} ms{' just begun' if run.may_be_starting(now) else ''}"
--- a/pondpin/relay/attempts/passive_health.py
+++ b/pondpin/relay/attempts/passive_health.py
@@ -1,4 +1,4 @@
-"""What the answers and the ends of attempts say of their upstreams."""
+"""Updates the health of upstreams from the heads of answers and the ends of attempts."""
 
 from pondpin.clocks import Clock
 from pondpin.metrics import Metrics
@@ -14,44 +14,44 @@
 
 MISDIRECTED = 421
 FIRST_FAILURE = 300
-# A silence that is shorter says nothing of an upstream.
-SILENT_SECONDS = 0.75
+# A shorter silence is no sign of a fault.
+MIN_STALL_SECONDS = 0.75
 
 
 class PassiveHealth:
-    """Keeps the health of upstreams by what attempts there came to."""
+    """Passive health checks of upstreams by the results of attempts."""
 
     def __init__(
         self,
         table: UpstreamTable,
-        hearing: NoticeHandler,
+        notices: NoticeHandler,
         metrics: Metrics,
         log: EventLog,
         clock: Clock,
     ) -> None:
         self._table = table
-        self._hearing = hearing
+        self._notices = notices
         self._metrics = metrics
         self._log = log
         self._clock = clock
 
     def observe_end(self, plan: Plan, end: AttemptEnd, began: float) -> None:
-        """Note what an attempt's end says of its upstream."""
+        """Update the upstream's health from the end of an attempt."""
         now = self._clock()
         result = end.kind.value
         self._metrics.attempts.inc({"upstream": plan.lead.listed.service, "result": result})
         helper = helper_at_fault(plan, end)
         if helper is not None:
-            # It may only be leaving; then the list says so in a moment.
-            self._note_failure(helper, now, "named as at fault", True)
+            # It may only be leaving; then the list shows it in a moment.
+            self._record_failure(helper, now, "named as at fault", True)
             return
         if end.kind is EndKind.WITHHELD:
             self._metrics.withheld.inc({})
             return
         if end.kind is EndKind.NOT_EXECUTED or asked_for_rest(plan.lead, began):
-            # One that wants rest is well: nothing of its health is lost.
+            # An upstream that asks for rest is healthy.
             return
-        if end.kind is EndKind.STALLED and now - began < SILENT_SECONDS:
+        if end.kind is EndKind.STALLED and now - began < MIN_STALL_SECONDS:
             # The deadline expired; don't count this against the upstream.
             return
         if (
@@ -59,43 +59,43 @@
             and plan.lead.last_seen_at > began
             and plan.lead.is_busy(now)
         ):
-            # It lives and is known to be busy: placement weighs that already.
+            # It is alive and known to be busy, which placement already weighs.
             return
         failing = end.kind in (EndKind.NOT_SENT, EndKind.STALLED)
         if failing or end.kind in (EndKind.BROKEN, EndKind.INVALID):
             silent = plan.lead.last_seen_at < began
             certain = failing and silent
-            self._note_failure(plan.lead, now, end.detail, certain)
+            self._record_failure(plan.lead, now, end.detail, certain)
         elif end.answer is not None and end.answer.status >= FIRST_SERVER_ERROR:
-            self._note_failure(plan.lead, now, f"status {end.answer.status}", False)
+            self._record_failure(plan.lead, now, f"status {end.answer.status}", False)
         else:
             plan.lead.record_success(now)
 
-    def _note_failure(self, state: UpstreamState, now: float, reason: str, certain: bool) -> None:
+    def _record_failure(self, state: UpstreamState, now: float, reason: str, certain: bool) -> None:
         if self._table.record_failure(state, now, certain):
             left = round(state.health.ejected_until - now, 2)
             self._log.write(UpstreamEjected(upstream=state.id, reason=reason, seconds=left))
 
-    def observe_head(self, plan: Plan, head: AnswerHead, asked_at: float) -> None:
-        """The head of an answer came: take what it says of its upstream."""
+    def observe_head(self, plan: Plan, head: AnswerHead, sent_at: float) -> None:
+        """Apply the head of an answer to its upstream."""
         now = self._clock()
         plan.lead.last_seen_at = now
         if head.load is not None:
             plan.lead.reported_load, plan.lead.reported_load_at = head.load, now
-        self._hear(plan.lead, head, asked_at)
-        # Another upstream has the address; one that names itself is still there.
+        self._handle_notices(plan.lead, head, sent_at)
+        # Another upstream has the address, unless the answer names the upstream that was asked.
         if head.status == MISDIRECTED and head.instance != plan.lead.id:
-            self._hearing.record_leaving(plan.lead.life, "misdirected", now)
+            self._notices.record_leaving(plan.lead.life, "misdirected", now)
 
-    def _hear(self, lead: UpstreamState, head: AnswerHead, asked_at: float) -> None:
-        """Take what the answer says of the upstream that gave it.
+    def _handle_notices(self, lead: UpstreamState, head: AnswerHead, sent_at: float) -> None:
+        """Apply the notices of an answer.
 
-        An answer to another request came late on a connection to the same process. A success
-        without the upstream's signature may be anybody's: it proves nothing.
+        An answer to another request came late on a connection to the same process, and counts. A
+        success without the upstream's signature may come from anywhere, and proves nothing.
         """
         if head.status < FIRST_FAILURE and not head.signed:
             return
-        self._hearing.handle_head(SentRequest(lead.id, lead.life, REQUEST, asked_at), head)
+        self._notices.handle_head(SentRequest(lead.id, lead.life, REQUEST, sent_at), head)
         if head.status < FIRST_SERVER_ERROR:
             lead.standing.note_taken(self._clock())
 
--- a/pondpin/relay/attempts/permit_acquirer.py
+++ b/pondpin/relay/attempts/permit_acquirer.py
@@ -1,4 +1,4 @@
-"""Gets permits of limited upstreams for requests, and gives back what was not spent."""
+"""Acquires permits of limited upstreams for requests, and releases unused ones."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -12,11 +12,11 @@
 from pondpin.relay.peers.permit_broker import PermitBroker
 from pondpin.relay.upstreams.state import UpstreamState
 
-# A request waits for a permit that comes within this share of what is left of its target: it is
-# kept for it, so the wait is sure, and the other half is left for the answer.
+# A request waits for a permit that is issued within this share of the time left to its target: the
+# permit is reserved for it, so the wait is certain, and the other half is left for the answer.
 PERMIT_WAIT_SHARE = 0.5
-# A limited upstream that nobody has heard for so long may take more by now: a request goes there to
-# hear it. Within this a service that turns away by its limit is used whole again.
+# A limit that was last reported this long ago may have been raised: a request is sent to learn it.
+# So a service with a lifted limit gets its full load again within this time.
 LIMIT_RECHECK_SECONDS = 3.0
 
 
@@ -27,19 +27,19 @@
     permits: PermitBroker
     metrics: Metrics
     clock: Clock
-    _looked_at_by_life: dict[int, float] = field(default_factory=dict)
+    _rechecked_at_by_life: dict[int, float] = field(default_factory=dict)
 
     async def acquire(self, call: RelayCall, progress: Progress, avoid: frozenset[int]) -> bool:
-        """Get a permit for a request that has no other place.
+        """Acquire a permit for a request that has no other upstream.
 
-        It waits for one that comes while its answer can still be in time; nothing queues behind.
+        Waits for one only while the answer can still be in time; there is no queue for permits.
         """
         tried = progress.tried | avoid
         if not self.permits.issuer.limited_upstreams(call.service, tried):
             return False
         job = make_job(call, progress, self.clock())
-        longest = max(0.0, PERMIT_WAIT_SHARE * (job.target - job.waited))
-        found = await self.permits.acquire(call.service, tried, longest)
+        max_wait = max(0.0, PERMIT_WAIT_SHARE * (job.target - job.waited))
+        found = await self.permits.acquire(call.service, tried, max_wait)
         got = isinstance(found, Permit)
         self.metrics.permits.inc({"result": "taken" if got else "refused"})
         if isinstance(found, Permit):
@@ -48,42 +48,42 @@
         return got
 
     async def recheck_limit(self, call: RelayCall, progress: Progress) -> None:
-        """Send a first try to a limited upstream that nobody has heard for a while.
+        """Send a first attempt to a limited upstream that has not reported its limit for a while.
 
-        Its home may have no requests of its own, and where others are free nobody asks for permits:
-        that a limit is lifted would never be heard.
+        The owner of its permits may have no requests, and while other upstreams are free no
+        instance asks for permits: a lifted limit would go unnoticed.
         """
         if progress.attempts or progress.permit is not None or not is_light_call(call, progress):
             return
         states = self.permits.issuer.limited_upstreams(call.service, progress.tried)
-        unheard = next((state for state in states if self._is_unheard(state)), None)
-        if unheard is None:
+        stale = next((state for state in states if self._is_stale(state)), None)
+        if stale is None:
             return
-        self._looked_at_by_life[unheard.life] = self.clock()
-        others = {state.life for state in states if state is not unheard}
+        self._rechecked_at_by_life[stale.life] = self.clock()
+        others = {state.life for state in states if state is not stale}
         found = await self.permits.acquire(call.service, progress.tried | others, 0.0)
         if isinstance(found, Permit):
             self.metrics.permits.inc({"result": "to hear it again"})
             progress.permit = found
 
-    def _is_unheard(self, state: UpstreamState) -> bool:
-        word = state.standing.limit
-        if word is None:
+    def _is_stale(self, state: UpstreamState) -> bool:
+        reported = state.standing.limit
+        if reported is None:
             return False
-        looked_at = self._looked_at_by_life.get(state.life, word.heard_at)
-        return self.clock() - max(word.heard_at, looked_at) > LIMIT_RECHECK_SECONDS
+        rechecked_at = self._rechecked_at_by_life.get(state.life, reported.heard_at)
+        return self.clock() - max(reported.heard_at, rechecked_at) > LIMIT_RECHECK_SECONDS
 
     def release(self, progress: Progress) -> None:
-        """Give back a permit that was not spent."""
+        """Release an unused permit."""
         if progress.permit is not None:
             self.permits.release(progress.permit)
             self.metrics.permits.inc({"result": "given back"})
             progress.permit = None
 
     def retry_after(self, call: RelayCall, progress: Progress) -> float | None:
-        """Seconds until the first permit for a request; None where no limited one is left."""
+        """Seconds until the next permit for a request; None if no limited upstream is left."""
         limited = self.permits.issuer.limited_upstreams(call.service, progress.tried)
         if not limited:
             return None
-        # A permit that could be had now would have been taken: 0 says that none is known of.
+        # A permit that is free now would have been acquired: 0 means that none is known.
         return self.permits.retry_after(limited, call.service) or RETRY_SECONDS
--- a/pondpin/relay/attempts/placer.py
+++ b/pondpin/relay/attempts/placer.py
@@ -1,4 +1,4 @@
-"""Finds the place of an attempt: past the quarantine, planned, in its turn, with its leases."""
+"""Places attempts: quarantine, plan, prefill queue, permits and leases."""
 
 import asyncio
 import random
@@ -23,20 +23,20 @@
     from pondpin.relay.attempts.permit_acquirer import PermitAcquirer
     from pondpin.relay.upstreams.leases import LeaseGroup, LeaseManager
 
-# Groups of leases asked for before a request is refused for want of memory.
+# Groups of leases requested before a request is refused for lack of memory.
 LEASE_TRIES = 3
-# A request waits for a rest that ends within this share of what is left of its target.
+# A request waits for a rest that ends within this share of the time left to its target.
 REST_WAIT_SHARE = 0.25
-WAKE_SECONDS = 0.001
-# While upstreams come back bit by bit, those that wait look this often: half a usual answer.
-RETURN_LOOK_SECONDS = 0.05
-# Callers that are told to wait for a rest come back spread over so many seconds at most.
-MOST_SPREAD_SECONDS = 1.0
+WAKE_MARGIN_SECONDS = 0.001
+# Interval of planning while upstreams return from their rests: half a usual answer.
+RETURN_POLL_SECONDS = 0.05
+# Retries of callers that have to wait are spread over at most this time.
+MAX_SPREAD_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Placer:
-    """Plans attempts; raises PondpinError when nothing can take a request."""
+    """Plans attempts; raises PondpinError if no upstream can take a request."""
 
     planner: Planner
     turns: Dispatcher
@@ -48,7 +48,7 @@
     rng: random.Random
 
     async def place(self, call: RelayCall, progress: Progress) -> tuple[Plan, "LeaseGroup | None"]:
-        """Plan by what holds when the plan is made; a long prompt may wait for it."""
+        """Plan an attempt that passes the send checks; a long prompt may wait in the queue."""
         while True:
             await self.send_checks.crash_guard.admit(call, progress)
             plan, group = await self._plan(call, progress)
@@ -56,11 +56,11 @@
                 return plan, group
             if group is not None:
                 self.leases().release(group)
-            # A key that holds no more ends the request with its own error.
+            # A key that is no longer valid ends the request with its own error.
             self.send_checks.check_key(call)
             if self.clock() >= call.deadline:
                 raise self.unavailable_error(call, progress)
-            # Plan and guards go by the same beliefs; should they ever differ, others go on.
+            # Plan and checks use the same state; should they ever differ, yield to other requests.
             await asyncio.sleep(0)
 
     async def _plan(self, call: RelayCall, progress: Progress) -> tuple[Plan, "LeaseGroup | None"]:
@@ -80,108 +80,105 @@
     async def _plan_or_wait(
         self, call: RelayCall, progress: Progress, avoid: frozenset[int]
     ) -> Plan:
-        """Plan; where nobody takes a request but somebody will in a moment, wait for that."""
+        """Plan; if no upstream takes a request but one soon will, wait for it."""
         if self._has_limited(call):
             await self.permits().recheck_limit(call, progress)
         while True:
-            shunned = self.send_checks.crash_guard.avoided_lives()
-            plan = await self._plan_when_free(call, progress, avoid | shunned)
-            if plan is None and shunned:
-                # Beside a suspect is better than nowhere.
-                plan = await self._plan_when_free(call, progress, avoid)
+            avoided = self.send_checks.crash_guard.avoided_lives()
+            plan = await self._plan_in_queue(call, progress, avoid | avoided)
+            if plan is None and avoided:
+                # Running beside a suspect is better than a refusal.
+                plan = await self._plan_in_queue(call, progress, avoid)
             if plan is not None and (plan.lead.looks_healthy(self.clock()) or progress.permit):
                 return plan
             if progress.permit is not None:
-                # Its upstream has no place for this request after all.
+                # Its upstream can't take this request after all.
                 avoid |= {progress.permit.life}
                 self.release_permit(progress)
             if self._has_limited(call) and await self.permits().acquire(call, progress, avoid):
                 continue
             if plan is not None:
                 return plan
-            wait = self._worth_waiting(call, progress)
+            wait = self._rest_wait(call, progress)
             if wait is None:
                 raise self.unavailable_error(call, progress)
             await asyncio.sleep(wait)
 
     def _has_limited(self, call: RelayCall) -> bool:
-        """Whether any upstream of the service takes requests by permit only."""
         if not self.table.standings.names_limits:
             return False
         return any(state.is_limited for state in self.table.of_service(call.service))
 
     def release_permit(self, progress: Progress) -> None:
-        """Give back a permit that was not spent."""
+        """Release an unused permit."""
         if progress.permit is not None:
             self.permits().release(progress)
 
-    def _worth_waiting(self, call: RelayCall, progress: Progress) -> float | None:
-        """Seconds after which a rest is over, None when that is too late, or not why."""
+    def _rest_wait(self, call: RelayCall, progress: Progress) -> float | None:
+        """Seconds until a rest is over; None if that is too late, or no rest is the cause."""
         now = self.clock()
         states = self._untried(call, progress)
-        why = nobody_left((state.standing for state in states), now)
-        if why is not None:
-            wait = why.back_at - now + WAKE_SECONDS
+        cause = nobody_left((state.standing for state in states), now)
+        if cause is not None:
+            wait = cause.back_at - now + WAKE_MARGIN_SECONDS
         elif any(state.bar(now) is Bar.RETURNS for state in states):
-            wait = RETURN_LOOK_SECONDS
+            wait = RETURN_POLL_SECONDS
         else:
             return None
         job = make_job(call, progress, now)
         is_soon = wait <= REST_WAIT_SHARE * (job.target - job.waited)
-        return wait if is_soon and (why is None or why.bar is Bar.RESTS) else None
+        return wait if is_soon and (cause is None or cause.bar is Bar.RESTS) else None
 
     def _untried(self, call: RelayCall, progress: Progress) -> list[UpstreamState]:
         states = self.table.of_service(call.service)
         return [state for state in states if state.life not in progress.tried]
 
     def unavailable_error(self, call: RelayCall, progress: Progress) -> PondpinError:
-        """The refusal of a request that no upstream takes: callers come back, spread out, when the
-        first does.
-        """
+        """The refusal if no upstream takes a request; retries are spread out from when one does."""
         now = self.clock()
         wait = self.permits().retry_after(call, progress) if self._has_limited(call) else None
         if wait is not None:
-            spread = min(MOST_SPREAD_SECONDS, RETRY_SECONDS + wait) * self.rng.random()
+            spread = min(MAX_SPREAD_SECONDS, RETRY_SECONDS + wait) * self.rng.random()
             return PondpinError(Code.UPSTREAMS_LIMITED, call.service, retry_after=wait + spread)
         states = self._untried(call, progress) or self.table.of_service(call.service)
-        why = nobody_left((state.standing for state in states), now)
-        if why is None:
+        cause = nobody_left((state.standing for state in states), now)
+        if cause is None:
             return PondpinError(Code.NO_UPSTREAM, call.service, retry_after=RETRY_SECONDS)
-        if why.bar is Bar.LEAVES:
+        if cause.bar is Bar.LEAVES:
             return PondpinError(Code.UPSTREAMS_LEAVE, call.service, retry_after=RETRY_SECONDS)
-        wait = max(0.0, why.back_at - now)
-        spread = min(MOST_SPREAD_SECONDS, RETRY_SECONDS + wait) * self.rng.random()
+        wait = max(0.0, cause.back_at - now)
+        spread = min(MAX_SPREAD_SECONDS, RETRY_SECONDS + wait) * self.rng.random()
         return PondpinError(Code.UPSTREAMS_REST, call.service, retry_after=wait + spread)
 
-    async def _plan_when_free(
+    async def _plan_in_queue(
         self, call: RelayCall, progress: Progress, avoid: frozenset[int]
     ) -> Plan | None:
-        """Plan; a long prompt waits for its turn."""
-        turn: QueueEntry | None = None
+        entry: QueueEntry | None = None
         try:
             while True:
                 plan = self.planner.plan(call, progress, avoid)
                 if plan is None:
                     return None
-                verdict = self.turns.decide(call, progress, plan, turn)
-                if verdict is DispatchDecision.SEND:
+                decision = self.turns.decide(call, progress, plan, entry)
+                if decision is DispatchDecision.SEND:
                     return plan
-                if verdict is DispatchDecision.REFUSE:
-                    raise self._too_late(call, plan)
-                turn = self.turns.update_queue(call, progress, plan, turn, verdict)
-                await self._rest(plan, turn, verdict)
+                if decision is DispatchDecision.REFUSE:
+                    raise self._too_late_error(call, plan)
+                entry = self.turns.update_queue(call, progress, plan, entry, decision)
+                await self._pause(plan, entry, decision)
         finally:
-            self.turns.dequeue(turn)
+            self.turns.dequeue(entry)
 
-    async def _rest(self, plan: Plan, turn: QueueEntry | None, verdict: DispatchDecision) -> None:
+    async def _pause(
+        self, plan: Plan, entry: QueueEntry | None, decision: DispatchDecision
+    ) -> None:
         """Wait until a prompt that can't be sent yet is worth planning again."""
         planned_at = self.clock()
-        await asyncio.sleep(self.turns.replan_delay(plan, verdict))
-        while not self.turns.should_replan(turn, planned_at):
-            await asyncio.sleep(self.turns.replan_delay(plan, verdict))
+        await asyncio.sleep(self.turns.replan_delay(plan, decision))
+        while not self.turns.should_replan(entry, planned_at):
+            await asyncio.sleep(self.turns.replan_delay(plan, decision))
 
-    def _too_late(self, call: RelayCall, plan: Plan) -> PondpinError:
-        """The refusal of a prompt that would be read when its caller has given up."""
+    def _too_late_error(self, call: RelayCall, plan: Plan) -> PondpinError:
         assert plan.choice is not None, "only prompts wait"
         first = self.clock() - call.arrived + plan.choice.first_event_seconds
         detail = f"first event after {first:.2f} s"
--- a/pondpin/relay/attempts/quarantine_records.py
+++ b/pondpin/relay/attempts/quarantine_records.py
@@ -1,4 +1,4 @@
-"""Verdicts on requests that ran where upstreams ended: ends seen here and told by peers."""
+"""Verdicts on requests that ran where upstreams ended, as seen here or reported by peers."""
 
 import asyncio
 from collections.abc import Callable, Iterable, Sequence
@@ -32,19 +32,19 @@
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.request_identity import show
 
-# A suspect waits so long while another run of it goes on, and is refused then: a deadly one ends in
-# 0.1 s, a harmless one is cleared as soon as a run ends whole.
+# A suspect is held this long while another run of it goes on, and then refused: a run that crashes
+# its worker ends in 0.1 s, a harmless request is cleared as soon as a run completes.
 HOLD_SECONDS = 1.0
-# Then its caller comes back in this time.
+# Retry delay of a suspect that was refused then.
 RETRY_SECONDS = 0.5
-# Bytes of a life that come so long after its end were on their way.
-ECHO_SECONDS = 0.25
+# Bytes of a life that arrive this soon after its end were in flight.
+IN_FLIGHT_SECONDS = 0.25
 MILLISECONDS = 1000
 
 
 @dataclass
 class QuarantineRecords:
-    """Feeds the quarantine, settles its ends and logs each verdict that changes."""
+    """Feeds the quarantine, settles its ends and logs changed verdicts."""
 
     quarantine_sync: QuarantineSync
     tracker: RunTracker
@@ -54,16 +54,15 @@
     metrics: Metrics
 
     def __post_init__(self) -> None:
-        """Set up what is not told yet."""
         self.quarantine: Quarantine = self.quarantine_sync.quarantine
         self.log: EventLog = self.tracker.log
         self.clock: Clock = self.tracker.clock
         self._verdict_by_identity: dict[int, Verdict] = {}
-        # Ends that proved to say nothing: told with the next step, which is soon enough.
+        # Ends that proved void: broadcast with the next step, which is soon enough.
         self.unsent: list[NamedEnd] = []
 
     async def admit(self, call: RelayCall, progress: Progress) -> None:
-        """Let a request through to placement, or raise PondpinError; see CrashGuard."""
+        """Admit a request to placement, or raise PondpinError; see CrashGuard."""
         limit = min(call.deadline, self.clock() + HOLD_SECONDS)
         while True:
             judgement = self.judge(call)
@@ -78,29 +77,29 @@
             if now >= judgement.run_from and not is_running:
                 return
             if now >= limit:
-                detail = _tell(call, judgement)
+                detail = _refusal_detail(call, judgement)
                 raise PondpinError(Code.SUSPECTED, detail, retry_after=RETRY_SECONDS)
             await asyncio.sleep(POLL_SECONDS)
 
     def judge(self, call: RelayCall) -> Judgement:
         """The verdict on a request now."""
         states = self.table.of_service(call.service)
-        around = Surroundings(
+        surroundings = Surroundings(
             lives=len(states),
             releases=frozenset(release_id(state) for state in states if not state.leaving),
             turn=self.turn(call.identity),
         )
-        return self.quarantine.judge(call.identity, self.clock(), around)
+        return self.quarantine.judge(call.identity, self.clock(), surroundings)
 
     def _refusal(self, call: RelayCall, judgement: Judgement) -> PondpinError:
         self.metrics.quarantined.inc({"service": call.service})
         left = max(RETRY_SECONDS, judgement.until - self.clock())
-        return PondpinError(Code.QUARANTINED, _tell(call, judgement), retry_after=left)
+        return PondpinError(Code.QUARANTINED, _refusal_detail(call, judgement), retry_after=left)
 
-    def outdated(self, call: RelayCall, progress: Progress, is_begun: bool) -> str:
-        """What holds now where a request was planned under a milder verdict; empty where not.
+    def quarantine_reason(self, call: RelayCall, progress: Progress, is_begun: bool) -> str:
+        """Why a request must not be sent as planned under a milder verdict; empty if it may.
 
-        is_begun: the run that goes on is its own.
+        is_begun: the request's own run has begun, and is not another one.
         """
         judgement = self.judge(call)
         if judgement.verdict is Verdict.FREE:
@@ -111,63 +110,63 @@
         return "another run of it goes on" if is_running else ""
 
     def allows_retry(self, call: RelayCall, end: AttemptEnd) -> bool:
-        """Whether another upstream may get a request after an attempt."""
+        """Whether the verdict allows a retry after an attempt."""
         judgement = self.judge(call)
         if judgement.verdict is Verdict.FREE:
             return True
         if not end.may_have_run:
             return judgement.verdict is Verdict.SUSPECTED
-        # What may still run at one upstream goes to no other.
-        proved = end.kind is EndKind.BROKEN
-        return judgement.verdict is Verdict.SUSPECTED and proved and judgement.may_try_again
-
-    def record_end(self, seen: ObservedEnd) -> None:
-        """Record an end that this instance saw, and tell peers."""
-        release = release_id(seen.state)
-        news = []
-        for run in seen.runs:
+        # A request that may still run at one upstream is sent to no other.
+        ended = end.kind is EndKind.BROKEN
+        return judgement.verdict is Verdict.SUSPECTED and ended and judgement.may_try_again
+
+    def record_end(self, observed: ObservedEnd) -> None:
+        """Record an end that this instance observed, and broadcast it."""
+        release = release_id(observed.state)
+        new_ends = []
+        for run in observed.runs:
             end = LifeEnd(
-                seen.state.life,
-                seen.at if run.ended_at is None else min(seen.at, run.ended_at),
+                observed.state.life,
+                observed.at if run.ended_at is None else min(observed.at, run.ended_at),
                 release,
-                not run.may_be_starting(seen.at),
+                not run.may_be_starting(observed.at),
                 source=self.quarantine_sync.instance,
             )
             if self.quarantine.note_end(run.identity, end):
-                news.append(NamedEnd(run.identity, end))
-        if news:
-            self.quarantine_sync.broadcast(news)
-            self._log_verdicts(item.identity for item in news)
+                new_ends.append(NamedEnd(run.identity, end))
+        if new_ends:
+            self.quarantine_sync.broadcast(new_ends)
+            self._log_verdicts(item.identity for item in new_ends)
 
     def record_peer_ends(self, source: str, ends: Sequence[NamedEnd]) -> None:
-        """Log verdicts that a peer's ends change, and look at this instance's requests there."""
+        """Log verdicts that a peer's ends change, and record this instance's requests there."""
         self._log_verdicts(item.identity for item in ends)
         for item in ends:
             state = self.table.by_life(item.end.life)
-            is_new = self.clock() - item.end.at < LATE_START_SECONDS
-            if state is not None and is_new and not item.end.void:
-                # A request of this instance may have left there just before.
+            is_recent = self.clock() - item.end.at < LATE_START_SECONDS
+            if state is not None and is_recent and not item.end.void:
+                # A request of this instance may have ended there just before.
                 self.tracker.record_refused(state)
 
     def settle(self, now: float) -> None:
-        """Settle ends by the list and by what was heard since, and tell peers."""
+        """Settle ends by the list and by data received since, and broadcast the void ones."""
         for item in self.quarantine.unsettled():
-            void = self._says_nothing(item.end, now)
+            void = self._is_void(item.end, now)
             if void is not None:
                 marked = self.quarantine.mark(item.identity, item.end.life, void)
                 if void:
                     self.unsent.append(marked)
         if self.unsent:
-            told, self.unsent = self.unsent, []
-            self.quarantine_sync.broadcast(told)
-            self._log_verdicts(item.identity for item in told)
+            sent, self.unsent = self.unsent, []
+            self.quarantine_sync.broadcast(sent)
+            self._log_verdicts(item.identity for item in sent)
 
-    def _says_nothing(self, end: LifeEnd, now: float) -> bool | None:
-        """Whether an end is none after all; None while that isn't known."""
+    def _is_void(self, end: LifeEnd, now: float) -> bool | None:
+        """Whether a life did not end after all; None while that isn't known."""
         state = self.table.by_life(end.life)
         if state is None or state.ended:
             return False
-        if self.tracker.active_since(end.life, end.at + ECHO_SECONDS):
+        if self.tracker.active_since(end.life, end.at + IN_FLIGHT_SECONDS):
             return True
         list_at = self.list_at()
         if list_at is not None and list_at > end.at + LIST_LAG_SECONDS:
@@ -175,7 +174,7 @@
         return None
 
     def lift(self, identity: int) -> int:
-        """An operator clears a request; returns how many ends were believed."""
+        """Clear a request for an operator; returns how many ends counted."""
         cleared = self.quarantine.note_good(identity, self.clock())
         if cleared:
             self.quarantine_sync.broadcast(cleared)
@@ -183,17 +182,17 @@
         return len(cleared)
 
     def describe(self, identity: int) -> tuple[Judgement, tuple[str, ...], float]:
-        """The verdict on an identity, whatever its service, its evidence and its rest."""
+        """The verdict on an identity in any service, its evidence and the seconds left."""
         now = self.clock()
-        around = Surroundings(lives=len(self.table.by_id), turn=1)
-        judgement = self.quarantine.judge(identity, now, around)
-        told = tuple(self._tell_end(end, now) for end in judgement.ends)
-        return judgement, told, round(max(0.0, judgement.until - now), 2)
+        surroundings = Surroundings(lives=len(self.table.by_id), turn=1)
+        judgement = self.quarantine.judge(identity, now, surroundings)
+        evidence = tuple(self._describe_end(end, now) for end in judgement.ends)
+        return judgement, evidence, round(max(0.0, judgement.until - now), 2)
 
     def _log_verdicts(self, identities: Iterable[int]) -> None:
-        """Write a line for each verdict that changed."""
+        """Log each verdict that changed."""
         for identity in set(identities):
-            judgement, told, seconds = self.describe(identity)
+            judgement, evidence, seconds = self.describe(identity)
             if judgement.verdict is self._verdict_by_identity.get(identity, Verdict.FREE):
                 continue
             self._verdict_by_identity[identity] = judgement.verdict
@@ -203,16 +202,16 @@
                 VerdictChanged(
                     identity=show(identity),
                     verdict=judgement.verdict.value,
-                    ends=told,
+                    ends=evidence,
                     seconds=seconds,
                 )
             )
 
-    def _tell_end(self, end: LifeEnd, now: float) -> str:
+    def _describe_end(self, end: LifeEnd, now: float) -> str:
         age = round((now - end.at) * MILLISECONDS)
         return f"{self.table.label_of(end.life)} {age} ms ago, seen by {end.source}"
 
 
-def _tell(call: RelayCall, judgement: Judgement) -> str:
-    """The reason of a refusal; operators find the evidence by the identity."""
+def _refusal_detail(call: RelayCall, judgement: Judgement) -> str:
+    """The detail of a refusal; operators find the evidence by the identity."""
     return f"request {show(call.identity)}: {len(judgement.ends)} upstreams ended while it ran"
--- a/pondpin/relay/attempts/request_log.py
+++ b/pondpin/relay/attempts/request_log.py
@@ -1,4 +1,4 @@
-"""Notes of each request's way: log lines and metrics, nothing that decides."""
+"""Log lines and metrics of each request."""
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestLog:
-    """Writes what becomes of requests."""
+    """Logs and counts requests."""
 
     log: EventLog
     metrics: Metrics
     clock: Clock
 
     def ended(self, call: RelayCall, progress: Progress, status: int, code: Code) -> None:
-        """A request got its whole answer."""
+        """Record a complete answer."""
         now = self.clock()
         first = progress.first_at if progress.first_at is not None else now
         self.log.write(
@@ -64,11 +64,11 @@
         route: Route | None,
         error: PondpinError,
         arrived: float,
-        beliefs: AdmissionState,
+        admission: AdmissionState,
     ) -> None:
-        """A request was refused, or failed; route is None when none was found."""
+        """Record a refusal or failure; route is None if none was found."""
         now = self.clock()
-        age = beliefs.proof_age(now)
+        age = admission.proof_age(now)
         self.log.write(
             Refused(
                 request=facts.attempt_id,
@@ -86,7 +86,7 @@
         self.metrics.requests.inc(labels)
 
     def caller_gone(self, call: RelayCall) -> None:
-        """The caller closed its connection."""
+        """Record that the caller closed its connection."""
         after = round((self.clock() - call.arrived) * MILLISECONDS)
         line = CallerGone(
             request=call.id,
@@ -105,9 +105,9 @@
         progress: Progress,
         plan: Plan,
         group: "LeaseGroup | None",
-        beliefs: AdmissionState,
+        admission: AdmissionState,
     ) -> None:
-        """An attempt is about to be sent."""
+        """Record an attempt about to be sent."""
         now = self.clock()
         load = plan.lead.load(now)
         choice = plan.choice
@@ -117,7 +117,9 @@
                 attempt=progress.attempts,
                 route=call.route.name,
                 version=call.configuration.version,
-                proof_age_ms=round(min(beliefs.proof_age(now), UNKNOWN_AGE_SECONDS) * MILLISECONDS),
+                proof_age_ms=round(
+                    min(admission.proof_age(now), UNKNOWN_AGE_SECONDS) * MILLISECONDS
+                ),
                 upstream=plan.lead.id,
                 in_flight=load.in_flight,
                 reading_ms=round(load.prefill_seconds * MILLISECONDS),
@@ -142,10 +144,10 @@
         )
 
     def attempt_ended(
-        self, call: RelayCall, progress: Progress, end: AttemptEnd, why_not: str
+        self, call: RelayCall, progress: Progress, end: AttemptEnd, reason: str
     ) -> None:
-        """An attempt did not bring the final answer; why_not: why none follows, if none does."""
-        if end.kind is EndKind.ANSWERED and why_not:
+        """Record an attempt without the final answer; reason: why no other follows."""
+        if end.kind is EndKind.ANSWERED and reason:
             return
         self.log.write(
             AttemptEnded(
@@ -156,7 +158,7 @@
                 detail=end.detail,
                 after_ms=round((self.clock() - call.arrived) * MILLISECONDS),
                 events=progress.events,
-                next="final answer" if why_not else "elsewhere",
-                reason=why_not,
+                next="final answer" if reason else "elsewhere",
+                reason=reason,
             )
         )
--- a/pondpin/relay/attempts/run_tracker.py
+++ b/pondpin/relay/attempts/run_tracker.py
@@ -1,8 +1,8 @@
-"""Which requests ran on an upstream when its life ended.
+"""Tracks which requests ran on an upstream when its life ended.
 
-A connection that breaks proves nothing: it may have been reset or cut, and the upstream lives on.
-So whoever loses one connects there again. Only a place that refuses has nobody listening; that, or
-a later life in the list, ends the earlier one.
+A broken connection proves nothing: it may have been reset or cut while the upstream lives on. So
+the instance connects again. Only a refused connection, or a later life in the list, shows that the
+life has ended.
 """
 
 import asyncio
@@ -20,15 +20,15 @@
 if TYPE_CHECKING:
     from pondpin.relay.attempts.liveness_checks import LivenessChecks
 
-# A worker begins to run a request once it is read, which takes at least this share of the time that
-# reading alone is known to take.
-READ_SHARE = 0.7
-# A request that has been answered for so long did not end its upstream by beginning to run.
+# A worker starts a request after its prefill, which takes at least this share of the time that the
+# prefill alone is known to take.
+MIN_PREFILL_SHARE = 0.7
+# A request that has been answered for this long did not crash its upstream by starting to run.
 ANSWERED_SECONDS = 0.3
-# After a caller left, the worker may begin its request before it reads that the connection closed.
+# After a caller left, the worker may start its request before it reads the connection's close.
 LATE_START_SECONDS = 1.0
-# An upstream that a request has left is connected to after this, unless it was heard meanwhile.
-LOOK_SECONDS = 0.3
+# Delay of the check on an upstream with an abandoned request, unless it was seen meanwhile.
+CHECK_DELAY_SECONDS = 0.3
 # The list shows the end of a worker within three heartbeats and the time of a read.
 LIST_LAG_SECONDS = 6.0
 
@@ -37,7 +37,7 @@
 class Run:
     """A request on the upstreams of one attempt; times are by the steady clock.
 
-    reading: seconds that its part of the prompt takes to read, 0 when not known.
+    prefill_seconds: duration of the prefill of its part of the prompt, 0 if not known.
     """
 
     identity: int
@@ -50,7 +50,7 @@
     broken: bool = False
 
     def is_answered_by(self, life: int) -> bool:
-        """Whether a life answers it, and not only reads a part of it."""
+        """Whether a life answers it rather than only prefilling a part."""
         return self.upstreams[0].life == life
 
     def was_answered(self, at: float) -> bool:
@@ -58,18 +58,18 @@
         return self.answered_at is not None and at - self.answered_at >= ANSWERED_SECONDS
 
     def may_be_starting(self, at: float) -> bool:
-        """Whether it may have just begun to run at a moment."""
-        is_read = at - self.began >= READ_SHARE * self.prefill_seconds
-        return is_read and not self.was_answered(at)
+        """Whether it may have just started to run at a moment."""
+        is_prefilled = at - self.began >= MIN_PREFILL_SHARE * self.prefill_seconds
+        return is_prefilled and not self.was_answered(at)
 
     def was_running(self, at: float, seconds: float) -> bool:
-        """Whether it ran at a moment, or had left at most some seconds before."""
+        """Whether it ran at a moment, or ended at most some seconds before."""
         return self.ended_at is None or at - self.ended_at <= seconds
 
 
 @dataclass(frozen=True, slots=True)
 class ObservedEnd:
-    """The life of an upstream ended while these requests of this instance were there."""
+    """The end of an upstream's life, and the requests of this instance that ran there."""
 
     state: UpstreamState
     at: float
@@ -78,67 +78,67 @@
 
 @dataclass
 class RunTracker:
-    """The requests of this instance by the life of the upstream that they run on."""
+    """The runs of this instance by the life of the upstream."""
 
     reach: Callable[[str, int], Awaitable[Reach]]
     table: UpstreamTable
     log: EventLog
     clock: Clock
-    on_end: Callable[[ObservedEnd], None] = lambda seen: None
+    on_end: Callable[[ObservedEnd], None] = lambda end: None
     runs_by_life: dict[int, list[Run]] = field(default_factory=dict)
 
-    def begin(self, identity: int, places: Iterable[UpstreamState], reading: float) -> Run:
-        """A request is about to be sent."""
-        run = Run(identity, self.clock(), tuple(places), reading)
+    def begin(self, identity: int, upstreams: Iterable[UpstreamState], prefill: float) -> Run:
+        """Record a request that is about to be sent."""
+        run = Run(identity, self.clock(), tuple(upstreams), prefill)
         for state in run.upstreams:
             self.runs_by_life.setdefault(state.life, []).append(run)
         return run
 
     def complete(self, run: Run) -> None:
-        """A request got its whole answer, or was not run."""
+        """Remove a request that got its whole answer, or was not run."""
         for state in run.upstreams:
-            self._drop(state.life, run)
+            self._remove(state.life, run)
 
     def abandon(self, run: Run) -> None:
-        """A request was given up: its upstreams are looked at in a moment if they are silent."""
+        """End a request without an answer; its upstreams are checked soon if they are silent."""
         run.ended_at = self.clock()
         loop = asyncio.get_running_loop()
         for state in run.upstreams:
-            loop.call_later(LOOK_SECONDS, self._look_if_silent, run, state)
+            loop.call_later(CHECK_DELAY_SECONDS, self._check_if_silent, run, state)
 
-    def _look_if_silent(self, run: Run, state: UpstreamState) -> None:
-        left_at = run.ended_at
-        if left_at is None or state.last_seen_at > left_at or run not in self.runs(state):
+    def _check_if_silent(self, run: Run, state: UpstreamState) -> None:
+        abandoned_at = run.ended_at
+        if abandoned_at is None or state.last_seen_at > abandoned_at or run not in self.runs(state):
             return
         if self.table.is_in_service(state):
-            self.looks.start_check(state)
+            self.checks.start_check(state)
 
     @cached_property
-    def looks(self) -> "LivenessChecks":
-        """Loaded when a request first breaks off, or an end is told."""
+    def checks(self) -> "LivenessChecks":
+        """Loaded when a request first breaks off, or a peer reports an end."""
         from pondpin.relay.attempts.liveness_checks import LivenessChecks
 
         return LivenessChecks(self)
 
     async def check(self, run: Run, state: UpstreamState) -> None:
-        """A request broke off: find out whether its upstream's life has ended."""
-        await self.looks.check(run, state)
+        """See LivenessChecks."""
+        await self.checks.check(run, state)
 
     def record_refused(self, state: UpstreamState) -> None:
-        """Nobody listens at an upstream's place: those that were there a moment ago are noted."""
-        self.looks.record_refused(state)
+        """See LivenessChecks."""
+        self.checks.record_refused(state)
 
     def record_unlisted(self) -> None:
-        """Note the ends of lives that are listed no more since requests broke off there."""
-        if "looks" in self.__dict__:
-            self.looks.record_unlisted()
+        """See LivenessChecks."""
+        if "checks" in self.__dict__:
+            self.checks.record_unlisted()
 
     def active_since(self, life: int, since: float) -> bool:
-        """Whether a request that it answers, from before a moment, was heard of after it."""
-        return self.looks.active_since(life, since)
+        """See LivenessChecks."""
+        return self.checks.active_since(life, since)
 
     def prune(self, now: float) -> None:
-        """Forget requests that left too long ago to matter."""
+        """Remove requests that ended too long ago to matter."""
         for life, runs in list(self.runs_by_life.items()):
             kept = [run for run in runs if run.was_running(now, LIST_LAG_SECONDS)]
             if kept:
@@ -150,7 +150,7 @@
         """The requests on an upstream's life."""
         return self.runs_by_life.get(state.life, [])
 
-    def _drop(self, life: int, run: Run) -> None:
+    def _remove(self, life: int, run: Run) -> None:
         runs = self.runs_by_life.get(life, [])
         if run in runs:
             runs.remove(run)
--- a/pondpin/relay/attempts/send_checks.py
+++ b/pondpin/relay/attempts/send_checks.py
@@ -1,7 +1,7 @@
-"""What must hold at the moment of sending, whatever was waited for since the plan was made.
+"""Checks that must pass at the moment of sending.
 
-A plan is made before its leases are taken and its connection is open. So all is asked again when
-the leases are there, and last when the connection is.
+A plan is made before its leases are acquired and its connection is open. So everything is checked
+again once the leases are held, and once more when the connection is open.
 """
 
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendChecks:
-    """The guards of a send, in one list."""
+    """The checks before a send, in one list."""
 
     admission_state: Callable[[], AdmissionState]
     crash_guard: CrashGuard
@@ -30,30 +30,30 @@
     clock: Clock
 
     def check_key(self, call: RelayCall) -> None:
-        """The key must still hold, by a proof that is young enough; raises PondpinError."""
+        """Raise PondpinError if the key is no longer valid, or its proof too old."""
         if call.account:
-            beliefs, now = self.admission_state(), self.clock()
-            admit(beliefs, call.facts, call.incoming.path, now)
-            check_proof(beliefs, call.facts, now)
+            state, now = self.admission_state(), self.clock()
+            admit(state, call.facts, call.incoming.path, now)
+            check_proof(state, call.facts, now)
 
     def withhold_reason(
         self, call: RelayCall, progress: Progress, plan: Plan, is_begun: bool
     ) -> str:
-        """Why a planned request must not be sent now, empty when it may; it is planned anew then.
+        """Why a planned request must not be sent now, but planned again; empty if it may.
 
-        is_begun: its run is already noted, and it is sent at once where this says nothing.
+        is_begun: its run is already recorded, and it is sent at once if the result is empty.
         """
         return (
-            self._key_bar(call)
-            or self.crash_guard.outdated(call, progress, is_begun)
-            or upstream_bar(plan, self.clock())
-            or self._permit_bar(progress, plan, is_begun)
+            self._key_reason(call)
+            or self.crash_guard.quarantine_reason(call, progress, is_begun)
+            or upstream_reason(plan, self.clock())
+            or self._permit_reason(progress, plan, is_begun)
         )
 
-    def _permit_bar(self, progress: Progress, plan: Plan, is_begun: bool) -> str:
-        """Why a limited upstream gets nothing; a permit is spent here, where it is sent.
+    def _permit_reason(self, progress: Progress, plan: Plan, is_begun: bool) -> str:
+        """Why a limited upstream must not get the request; spends its permit on sending.
 
-        So none is spent for what then waits, is withheld or finds no connection.
+        So no permit is spent on a request that then waits, is withheld or can't connect.
         """
         limited = [state for state in plan.helpers if state.is_limited]
         if limited:
@@ -65,14 +65,14 @@
             if is_begun:
                 progress.permit = None
             return ""
-        has_one = (
+        has_permit = (
             self.permit_issuer().use_spare(lead)
             if is_begun
             else self.permit_issuer().has_spare(lead)
         )
-        return "" if has_one else f"{lead.id} has no permit left"
+        return "" if has_permit else f"{lead.id} has no permit left"
 
-    def _key_bar(self, call: RelayCall) -> str:
+    def _key_reason(self, call: RelayCall) -> str:
         try:
             self.check_key(call)
         except PondpinError as error:
@@ -80,10 +80,10 @@
         return ""
 
 
-def upstream_bar(plan: Plan, now: float) -> str:
-    """Which upstream of a plan leaves or rests, and that it does; empty when none does.
+def upstream_reason(plan: Plan, now: float) -> str:
+    """Name an upstream of a plan that leaves or rests; empty if none does.
 
-    How many requests may be at one that comes back from its rest was settled when it was planned.
+    The limit of requests at one that returns from its rest was applied when it was planned.
     """
     for state in (plan.lead, *plan.helpers):
         bar = state.standing.bar(now)
--- a/pondpin/tests/test_relay_notice_matrix.py
+++ b/pondpin/tests/test_relay_notice_matrix.py
@@ -75,12 +75,12 @@
 
 
 WORDS = (
-    Word("leaves", "upstream_bar", leave, late),
-    Word("wants rest", "upstream_bar", rest, in_rests),
-    Word("names a limit", "_permit_bar", limit, over_limit),
+    Word("leaves", "upstream_reason", leave, late),
+    Word("wants rest", "upstream_reason", rest, in_rests),
+    Word("names a limit", "_permit_reason", limit, over_limit),
 )
 # Guards that keep to no word of an upstream: `test_relay_rules` and `test_relay_quarantine`.
-OTHER_GUARDS = {"_key_bar", "outdated"}
+OTHER_GUARDS = {"_key_reason", "quarantine_reason"}
 WAYS = (
     Way("plain, may be repeated", "again"),
     Way("plain, may not", "once"),
--- a/pondpin/tests/test_relay_quarantine.py
+++ b/pondpin/tests/test_relay_quarantine.py
@@ -404,7 +404,7 @@
                 await platform.until(lambda: not first.handler.open_requests)
             self.assertEqual(first.guard.quarantine_sync.running_by_identity, {})
             looked.set()
-            await platform.until(lambda: not first.guard.tracker.looks._looks_by_life)
+            await platform.until(lambda: not first.guard.tracker.checks._checks_by_life)
 
         self.play(work)
 
