--- a/pondpin/relay/attempts/attempt.py
+++ b/pondpin/relay/attempts/attempt.py
@@ -31,11 +31,11 @@
         ...
 
     def on_first_event(self) -> None:
-        """Handle the first event of this attempt."""
+        """Handle the first event."""
         ...
 
     def on_data(self, now: float) -> None:
-        """Handle the receipt of any byte."""
+        """Handle received data."""
         ...
 
     def busy_until(self, now: float) -> float:
@@ -47,7 +47,7 @@
         ...
 
     async def query_status(self) -> bool:
-        """Ask the upstream for its status; whether it answers."""
+        """Whether the upstream answers a status query."""
         ...
 
     def may_retry(self) -> bool:
@@ -161,8 +161,7 @@
         began: float,
     ) -> StreamStart | None:
         """Send and wait for the head; None after the stall timeout or the deadline."""
-        # A call that must not be repeated gets a new connection: a failure to connect then proves
-        # that nothing was sent.
+        # A call that must not be repeated gets a new connection: if that fails, nothing was sent.
         new_connection = not call.route.idempotent
         opening = asyncio.ensure_future(
             self._http.open_exact(exact, new_connection, observer.withhold_reason)
--- a/pondpin/relay/attempts/attempt_ends.py
+++ b/pondpin/relay/attempts/attempt_ends.py
@@ -14,7 +14,7 @@
 
 
 def helper_at_fault(plan: Plan, end: AttemptEnd) -> UpstreamState | None:
-    """The helper that the lead names as the reason for not running a request."""
+    """The helper that the lead names as the cause of not running a request."""
     for state in plan.helpers:
         if end.at_fault == Endpoint(state.listed.host, state.listed.port):
             return state
--- a/pondpin/relay/attempts/crash_guard.py
+++ b/pondpin/relay/attempts/crash_guard.py
@@ -1,7 +1,7 @@
-"""Holds back requests that crash the workers which run them.
+"""Holds back requests that crash the workers running them.
 
-`pondpin.quarantine` decides before every send; this module feeds it the ends of upstream lives that
-attempts, the list of upstreams and peers report.
+Before every send `pondpin.quarantine` decides by the ends of upstream lives that attempts, the list
+of upstreams and peers report.
 """
 
 import asyncio
@@ -25,8 +25,7 @@
     from pondpin.relay.attempts.quarantine_records import QuarantineRecords
 
 POLL_SECONDS = 0.02
-# An instance that starts waits this long for a peer's digest and what that peer then sends: digests
-# come every 0.2 s.
+# A starting instance waits this long for a peer's digest (sent every 0.2 s) and the peer's ends.
 SYNC_WAIT_SECONDS = 0.3
 
 
@@ -65,9 +64,8 @@
             progress.spent_releases = frozenset()
 
     def _is_synced(self) -> bool:
-        """Whether peers had the time to send their ends since this instance started."""
         if self.quarantine_sync.is_synced or not self.quarantine_sync.hosts():
-            # All reachable peers have sent theirs.
+            # All reachable peers have sent their ends.
             return True
         return self.clock() - self._started_at >= SYNC_WAIT_SECONDS
 
--- a/pondpin/relay/attempts/handler.py
+++ b/pondpin/relay/attempts/handler.py
@@ -165,7 +165,6 @@
                 end = await self._attempt(call, progress)
             except PondpinError as error:
                 raise correct_ran(error, progress) from None
-            # Release the unused permit before retrying elsewhere.
             self.placer.release_permit(progress)
             progress.may_have_run = progress.may_have_run or end.may_have_run
             progress.sends += end.was_sent
@@ -184,10 +183,9 @@
             raise final_error(call, progress, end, self.clock())
 
     async def _attempt(self, call: RelayCall, progress: Progress) -> AttemptEnd:
-        """Plan and run one attempt."""
         plan, group = await self.placer.place(call, progress)
         key = self.planner.begin_attempt(call, progress, plan)
-        lease_task = self._keep_leases(group, plan, progress)
+        renewal = self._keep_leases(group, plan, progress)
         progress.upstream, progress.life = plan.lead.id, plan.lead.life
         began = self.clock()
         run = self.crash_guard.begin(call, progress, plan)
@@ -208,8 +206,8 @@
             raise
         finally:
             self.planner.end_attempt(plan, key)
-            if lease_task is not None and group is not None:
-                lease_task.cancel()
+            if renewal is not None and group is not None:
+                renewal.cancel()
                 self.leases().release(group)
         self._health.observe_end(plan, end, began)
         await self.crash_guard.finish(call, progress, plan, end, run)
@@ -229,7 +227,7 @@
         return asyncio.ensure_future(keeping)
 
     def may_retry(self, call: RelayCall, progress: Progress) -> bool:
-        """Whether another attempt could follow the present one, by the state now."""
+        """Whether another attempt could follow this one now."""
         if progress.sends + 1 >= call.route.attempts or progress.attempts >= MAX_ATTEMPTS:
             return False
         if progress.suspected:
@@ -243,14 +241,14 @@
         return self._window(call.service).has_budget(self.clock(), self.instance_count())
 
     def _final_reason(self, call: RelayCall, progress: Progress, end: AttemptEnd) -> str:
-        """Why no attempt may follow, empty if one may; that spends the retry budget."""
+        """Why no attempt may follow; empty if one may, which spends the retry budget."""
         now = self.clock()
         used_up = progress.sends >= call.route.attempts or progress.attempts >= MAX_ATTEMPTS
         is_withheld = end.kind is EndKind.WITHHELD
         if not is_withheld:
             # The upstream has not seen a withheld request, and may get it later.
             progress.tried |= {progress.life}
-        # A request that must not be repeated continues without its caller, but is not retried.
+        # A request that must not be repeated goes on without its caller, but is not retried.
         conditions = (
             (end.kind is EndKind.ANSWERED and not is_retryable_answer(call, end), "answered"),
             (call.reply.gone, "its caller left"),
@@ -297,7 +295,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Observer:
-    """Applies what an attempt observes of its upstream."""
+    """Implements AttemptObserver."""
 
     handler: RelayHandler
     call: RelayCall
--- a/pondpin/relay/attempts/placer.py
+++ b/pondpin/relay/attempts/placer.py
@@ -134,7 +134,7 @@
         return [state for state in states if state.life not in progress.tried]
 
     def unavailable_error(self, call: RelayCall, progress: Progress) -> PondpinError:
-        """The refusal if no upstream takes a request; retries are spread out from when one does."""
+        """The error if no upstream takes a request; retries are spread from when one does."""
         now = self.clock()
         wait = self.permits().retry_after(call, progress) if self._has_limited(call) else None
         if wait is not None:
@@ -165,14 +165,13 @@
                 if decision is DispatchDecision.REFUSE:
                     raise self._too_late_error(call, plan)
                 entry = self.turns.update_queue(call, progress, plan, entry, decision)
-                await self._pause(plan, entry, decision)
+                await self._wait_to_replan(plan, entry, decision)
         finally:
             self.turns.dequeue(entry)
 
-    async def _pause(
+    async def _wait_to_replan(
         self, plan: Plan, entry: QueueEntry | None, decision: DispatchDecision
     ) -> None:
-        """Wait until a prompt that can't be sent yet is worth planning again."""
         planned_at = self.clock()
         await asyncio.sleep(self.turns.replan_delay(plan, decision))
         while not self.turns.should_replan(entry, planned_at):
--- a/pondpin/relay/attempts/request_log.py
+++ b/pondpin/relay/attempts/request_log.py
@@ -86,7 +86,7 @@
         self.metrics.requests.inc(labels)
 
     def caller_gone(self, call: RelayCall) -> None:
-        """Record that the caller closed its connection."""
+        """Record that the caller disconnected."""
         after = round((self.clock() - call.arrived) * MILLISECONDS)
         line = CallerGone(
             request=call.id,
--- a/pondpin/relay/attempts/run_tracker.py
+++ b/pondpin/relay/attempts/run_tracker.py
@@ -20,8 +20,7 @@
 if TYPE_CHECKING:
     from pondpin.relay.attempts.liveness_checks import LivenessChecks
 
-# A worker starts a request after its prefill, which takes at least this share of the time that the
-# prefill alone is known to take.
+# A worker starts a request after its prefill, which takes at least this share of the known time.
 MIN_PREFILL_SHARE = 0.7
 # A request that has been answered for this long did not crash its upstream by starting to run.
 ANSWERED_SECONDS = 0.3
--- a/pondpin/relay/attempts/send_checks.py
+++ b/pondpin/relay/attempts/send_checks.py
@@ -1,7 +1,7 @@
 """Checks that must pass at the moment of sending.
 
-A plan is made before its leases are acquired and its connection is open. So everything is checked
-again once the leases are held, and once more when the connection is open.
+A plan is made before its leases are acquired and its connection is open, so everything is checked
+again after each of these.
 """
 
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendChecks:
-    """The checks before a send, in one list."""
+    """The checks before a send."""
 
     admission_state: Callable[[], AdmissionState]
     crash_guard: CrashGuard
