--- a/pondpin/relay/attempts/placer.py
+++ b/pondpin/relay/attempts/placer.py
@@ -74,7 +74,7 @@
             )
             if group is not None:
                 return plan, group
-            avoid |= {place.life for place in refusing}
+            avoid |= {part.life for part in refusing}
         raise PondpinError(Code.NO_UPSTREAM, call.service, retry_after=RETRY_SECONDS)
 
     async def _plan_or_wait(
--- a/pondpin/tests/test_relay_notice_matrix.py
+++ b/pondpin/tests/test_relay_notice_matrix.py
@@ -1,7 +1,7 @@
-"""One table: what an upstream may say, by every way to it, to one instance and to several.
+"""Every notice of an upstream on every path of requests, with one instance and with three.
 
-Each cell plays requests of one way while an upstream says one thing, and checks what reached it. A
-guard of the send, or a route, that is added without its cells fails.
+Each cell sends requests on one path while some upstreams give one notice, and checks what reached
+them. A check before a send, or a route, that is added without its cells fails a test.
 """
 
 import ast
@@ -27,22 +27,22 @@
 from pondpin.tests.support import RelayTest, ask
 from pondpin.tests.test_relay_notice_paths import code_of, state_of
 
-ASKED = 18
+REQUEST_COUNT = 18
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
-    """What an upstream says, how often that may be exceeded, and the guard that keeps to it."""
+class NoticeCase:
+    """A notice, the check that enforces it, and how far the requests exceeded it."""
 
     name: str
-    guard: str
-    say: Callable[[Worker], None]
-    over: Callable[[Wishes], float]
+    check: str
+    apply: Callable[[Worker], None]
+    violations: Callable[[Wishes], float]
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
-    """How requests get to upstreams; fault: what their first try meets at another upstream."""
+class RequestPath:
+    """A kind of request; fault: what its first attempt meets at another upstream."""
 
     name: str
     route: str
@@ -62,83 +62,85 @@
     worker.limit = "0.5"
 
 
-def late(wishes: Wishes) -> float:
+def late_sends(wishes: Wishes) -> float:
     return wishes.late(0.0)
 
 
-def in_rests(wishes: Wishes) -> float:
+def sends_in_rests(wishes: Wishes) -> float:
     return windows_over([wishes])
 
 
-def over_limit(wishes: Wishes) -> float:
+def sends_over_limit(wishes: Wishes) -> float:
     return worst_over([wishes])
 
 
-WORDS = (
-    Word("leaves", "upstream_reason", leave, late),
-    Word("wants rest", "upstream_reason", rest, in_rests),
-    Word("names a limit", "_permit_reason", limit, over_limit),
+NOTICE_CASES = (
+    NoticeCase("leaves", "upstream_reason", leave, late_sends),
+    NoticeCase("wants rest", "upstream_reason", rest, sends_in_rests),
+    NoticeCase("names a limit", "_permit_reason", limit, sends_over_limit),
 )
-# Guards that keep to no word of an upstream: `test_relay_rules` and `test_relay_quarantine`.
-OTHER_GUARDS = {"_key_reason", "quarantine_reason"}
-WAYS = (
-    Way("plain, may be repeated", "again"),
-    Way("plain, may not", "once"),
-    Way("a stream", "stream"),
-    Way("a long prompt on several, with leases", "long", "460000,500"),
-    Way("a second try", "again", fault=WorkerFault.ERROR),
-    Way("a stream taken up again", "stream", fault=WorkerFault.CUT),
+# Checks that enforce no notice: see `test_relay_rules` and `test_relay_quarantine`.
+OTHER_CHECKS = {"_key_reason", "quarantine_reason"}
+REQUEST_PATHS = (
+    RequestPath("plain, may be repeated", "again"),
+    RequestPath("plain, may not", "once"),
+    RequestPath("a stream", "stream"),
+    RequestPath("a long prompt on several, with leases", "long", "460000,500"),
+    RequestPath("a second try", "again", fault=WorkerFault.ERROR),
+    RequestPath("a stream taken up again", "stream", fault=WorkerFault.CUT),
 )
 
 
-def guards() -> set[str]:
-    """The names of the checks that a send asks, in the order of its list."""
+def send_checks() -> set[str]:
+    """The names of the checks before a send."""
     tree = ast.parse(textwrap.dedent(inspect.getsource(SendChecks.withhold_reason)))
     chains = [node for node in ast.walk(tree) if isinstance(node, ast.BoolOp)]
     calls = [item.func for chain in chains for item in chain.values if isinstance(item, ast.Call)]
     return {call.attr if isinstance(call, ast.Attribute) else ast.unparse(call) for call in calls}
 
 
-class TableTest(RelayTest):
+class MatrixTest(RelayTest):
     instances = 3
     engines = 4
 
-    def test_every_guard_and_route_has_its_cells(self) -> None:
-        self.assertEqual(guards(), {word.guard for word in WORDS} | OTHER_GUARDS)
+    def test_every_check_and_route_has_its_cells(self) -> None:
+        self.assertEqual(send_checks(), {case.check for case in NOTICE_CASES} | OTHER_CHECKS)
         routes = {route["name"] for route in sample_configuration()["routes"]}
-        self.assertEqual({way.route for way in WAYS}, routes)
+        self.assertEqual({path.route for path in REQUEST_PATHS}, routes)
 
-    def test_every_word_is_kept_to_on_every_way(self) -> None:
-        for word in WORDS:
-            for way in WAYS:
+    def test_every_notice_is_respected_on_every_path(self) -> None:
+        for case in NOTICE_CASES:
+            for path in REQUEST_PATHS:
                 for instances in (1, 3):
-                    with self.subTest(f"{word.name}, {way.name}, {instances}"):
-                        self.play(partial(self.cell, word, way, instances))
-
-    async def cell(self, word: Word, way: Way, instances: int, platform: LocalPlatform) -> None:
-        speaking = [platform.workers_by_id[name] for name in ("engine-0", "plain-0")]
-        others = [item for item in platform.workers_by_id.values() if item not in speaking]
-        for worker in speaking:
-            word.say(worker)
-        for number in range(ASKED):
+                    with self.subTest(f"{case.name}, {path.name}, {instances}"):
+                        self.play(partial(self.cell, case, path, instances))
+
+    async def cell(
+        self, case: NoticeCase, path: RequestPath, instances: int, platform: LocalPlatform
+    ) -> None:
+        notifying = [platform.workers_by_id[name] for name in ("engine-0", "plain-0")]
+        others = [item for item in platform.workers_by_id.values() if item not in notifying]
+        for worker in notifying:
+            case.apply(worker)
+        for number in range(REQUEST_COUNT):
             for worker in others:
-                worker.faults = [way.fault] if number % 2 and way.fault.value != "none" else []
+                worker.faults = [path.fault] if number % 2 and path.fault.value != "none" else []
             instance = number % instances
             attempt = f"relay-{instance}.{number}"
             try:
-                if way.tokens:
-                    await ask(platform, way.route, attempt, instance, x_token_usage=way.tokens)
+                if path.tokens:
+                    await ask(platform, path.route, attempt, instance, x_token_usage=path.tokens)
                 else:
-                    await ask(platform, way.route, attempt, instance)
+                    await ask(platform, path.route, attempt, instance)
             except CallFailedError:
-                # Both tries of a stream met the fault.
+                # Both attempts of a stream met the fault.
                 continue
-        for worker in speaking:
-            self.assertLessEqual(word.over(worker.wishes), 0.0)
+        for worker in notifying:
+            self.assertLessEqual(case.violations(worker.wishes), 0.0)
 
 
 class AllLimitedTest(RelayTest):
-    """Nobody else is there: what has no permit in time is refused, truthfully and at once."""
+    """All upstreams are limited: a request that gets no permit in time is refused at once."""
 
     instances = 2
 
@@ -159,7 +161,7 @@
 
         self.play(work)
 
-    def test_a_lifted_limit_is_heard_where_others_are_free(self) -> None:
+    def test_a_lifted_limit_is_noticed_while_others_are_free(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             worker = platform.workers_by_id["plain-0"]
             worker.limit = "2"
@@ -178,7 +180,7 @@
 
         self.play(work)
 
-    def test_a_limit_of_nothing_is_lifted_by_a_check(self) -> None:
+    def test_a_limit_of_zero_is_lifted_by_a_check(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             for name in ("plain-0", "plain-1"):
                 platform.workers_by_id[name].limit = "0"
@@ -196,57 +198,57 @@
         self.play(work)
 
 
-class PairsTest(RelayTest):
-    """A limit beside what else may be said or happen of the same upstream."""
+class CombinationTest(RelayTest):
+    """A limit combined with other notices and events of the same upstream."""
 
     instances = 1
 
-    def name_limit(self, entry: RelayEntry, name: str = "plain-0") -> UpstreamState:
+    def set_limit(self, entry: RelayEntry, name: str = "plain-0") -> UpstreamState:
         state = state_of(entry, name)
         now = entry.handler.clock()
         hear_limit(entry.table.standings, state.life, LimitWord(2.0, now, now, "test"), now)
         return state
 
-    def limited(self, entry: RelayEntry) -> list[str]:
+    def limited_ids(self, entry: RelayEntry) -> list[str]:
         return [state.id for state in entry.gossip.limits.issuer.limited_upstreams("plain", ())]
 
-    def test_who_leaves_or_rests_hands_out_nothing(self) -> None:
+    def test_an_upstream_that_leaves_or_rests_issues_no_permits(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             entry = platform.entries[0]
             for notice in (Notice(rest=60.0), Notice(leaves=True)):
-                state = self.name_limit(entry)
-                self.assertEqual(self.limited(entry), ["plain-0"])
+                state = self.set_limit(entry)
+                self.assertEqual(self.limited_ids(entry), ["plain-0"])
                 now = entry.handler.clock()
                 entry.table.standings.hear(state.life, notice, "test", now)
-                self.assertEqual(self.limited(entry), [])
+                self.assertEqual(self.limited_ids(entry), [])
                 entry.table.standings.by_life[state.life].rest = None
 
         self.play(work)
 
-    def test_an_ejected_one_waits_for_its_check(self) -> None:
+    def test_an_ejected_upstream_waits_for_its_check(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             entry = platform.entries[0]
-            state = self.name_limit(entry)
+            state = self.set_limit(entry)
             state.needs_probe = True
-            self.assertEqual(self.limited(entry), [])
+            self.assertEqual(self.limited_ids(entry), [])
             await platform.until(lambda: not state.needs_probe)
-            self.assertEqual(self.limited(entry), ["plain-0"])
+            self.assertEqual(self.limited_ids(entry), ["plain-0"])
 
         self.play(work)
 
-    def test_it_belongs_to_the_life_and_survives_a_lapse_and_a_reload(self) -> None:
+    def test_a_limit_belongs_to_the_life_and_survives_a_lapse_and_a_reload(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             entry = platform.entries[0]
-            listed = self.name_limit(entry).listed
+            listed = self.set_limit(entry).listed
             entry.table.apply_list([], ["plain-0"])
             entry.table.apply_list([listed], [])
             entry.reload(entry.settings)
-            self.assertEqual(self.limited(entry), ["plain-0"])
+            self.assertEqual(self.limited_ids(entry), ["plain-0"])
             later = ListedUpstream(
                 listed.id, listed.service, listed.host, listed.port, "north", 8, False, born=7
             )
             entry.table.apply_list([later], [])
-            self.assertEqual(self.limited(entry), [])
+            self.assertEqual(self.limited_ids(entry), [])
 
         self.play(work)
 
--- a/pondpin/tests/test_relay_notice_paths.py
+++ b/pondpin/tests/test_relay_notice_paths.py
@@ -1,4 +1,4 @@
-"""Every answer that can say something of an upstream, and every way on which it must be heeded."""
+"""Every answer that may carry a notice, and every path on which the notice must be respected."""
 
 import asyncio
 import os
@@ -37,9 +37,9 @@
 from pondpin.tests.test_relay_notices import ask_all
 
 TARGET_SECONDS = 0.3
-# 50 requests/s for 14 s, of which so many are to be served while five of eight upstreams are free.
-ASKED_OF_EIGHT = 700
-SERVED_SHARE = 0.99
+# 50 requests/s for 14 s, and the share to be served while five of eight upstreams are free.
+REQUEST_COUNT = 700
+MIN_SERVED_SHARE = 0.99
 
 
 def state_of(entry: RelayEntry, name: str) -> UpstreamState:
@@ -57,7 +57,7 @@
     return sum(len(worker.wishes.arrivals) for worker in workers)
 
 
-def shown_metrics(entry: RelayEntry) -> str:
+def rendered_metrics(entry: RelayEntry) -> str:
     return entry.metrics.render("")[0].decode()
 
 
@@ -66,13 +66,13 @@
 
 
 class AnswersTest(RelayTest):
-    """Which answers are believed, and of whom."""
+    """Which answers are accepted, and for which upstream."""
 
-    def heard(self, platform: LocalPlatform, name: str) -> Bar:
+    def bar(self, platform: LocalPlatform, name: str) -> Bar:
         entry = platform.entries[0]
         return state_of(entry, name).bar(entry.handler.clock())
 
-    def test_turned_away_misdirected_and_failed_answers_say_it_too(self) -> None:
+    def test_refused_misdirected_and_failed_answers_carry_notices(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             worker = platform.workers_by_id["plain-0"]
             for fault in (WorkerFault.SHED, WorkerFault.MISDIRECTED, WorkerFault.ERROR):
@@ -87,12 +87,12 @@
                     await ask(platform, "again", f"relay-0.{fault.value}{number}")
                 fail_next(platform, WorkerFault.NONE, 0)
                 with self.subTest(fault):
-                    self.assertIs(self.heard(platform, "plain-0"), Bar.LEAVES)
-                    self.assertIs(self.heard(platform, "plain-1"), Bar.NONE)
+                    self.assertIs(self.bar(platform, "plain-0"), Bar.LEAVES)
+                    self.assertIs(self.bar(platform, "plain-1"), Bar.NONE)
 
         self.play(work)
 
-    def test_a_liveness_check_a_report_and_a_lease_say_it_too(self) -> None:
+    def test_liveness_checks_reports_and_leases_carry_notices(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             entry = platform.entries[0]
             for worker in platform.workers_by_id.values():
@@ -101,31 +101,31 @@
             state.needs_probe = True
             await platform.until(lambda: state.leaving)
             await entry.late.reports.query_status(state_of(entry, "engine-0"))
-            self.assertIs(self.heard(platform, "engine-0"), Bar.LEAVES)
+            self.assertIs(self.bar(platform, "engine-0"), Bar.LEAVES)
             engine = state_of(entry, "engine-1")
             listed = engine.listed
             part = PartPlace(listed.id, listed.host, listed.port, life=listed.life)
             group, _ = await entry.late.leases.acquire("r", (part,), 100)
             self.assertIsNotNone(group)
-            self.assertIs(self.heard(platform, "engine-1"), Bar.LEAVES)
+            self.assertIs(self.bar(platform, "engine-1"), Bar.LEAVES)
 
         self.play(work)
 
-    def test_a_success_without_a_signature_proves_nothing_an_answer_to_another_does(self) -> None:
+    def test_an_unsigned_success_is_ignored_an_answer_to_another_request_is_not(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             worker = platform.workers_by_id["plain-0"]
             platform.workers_by_id["plain-1"].rest = "60"
             worker.says_leaving = True
             worker.faults = [WorkerFault.UNSIGNED] * 2
             await ask(platform, "again", "relay-0.first")
-            self.assertIs(self.heard(platform, "plain-0"), Bar.NONE)
+            self.assertIs(self.bar(platform, "plain-0"), Bar.NONE)
             worker.faults = [WorkerFault.FOREIGN] * 2
             await ask(platform, "again", "relay-0.second")
-            self.assertIs(self.heard(platform, "plain-0"), Bar.LEAVES)
+            self.assertIs(self.bar(platform, "plain-0"), Bar.LEAVES)
 
         self.play(work)
 
-    def test_another_upstream_at_an_address_speaks_for_itself(self) -> None:
+    def test_another_upstream_at_an_address_announces_its_own_leaving(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             entry = platform.entries[0]
             for name in ("plain-0", "plain-1"):
@@ -133,16 +133,16 @@
                 platform.workers_by_id[name].says_leaving = True
             await ask(platform, "again", "relay-0.first")
             standings = entry.table.standings
-            said = [
+            announced = [
                 name
                 for name in ("new-plain-0", "new-plain-1")
                 if standings.of(life_of(name, None)).leaving is not None
             ]
-            self.assertTrue(said)
+            self.assertTrue(announced)
 
         self.play(work)
 
-    def test_the_caller_gets_the_answer_as_it_came(self) -> None:
+    def test_the_caller_gets_the_unchanged_answer(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             for worker in platform.workers_by_id.values():
                 worker.says_leaving = True
@@ -154,27 +154,27 @@
 
 
 class LifeTest(RelayTest):
-    """Leaving holds for the life, whatever becomes of its entry."""
+    """A life that leaves stays so, whatever happens to its entry in the list."""
 
     instances = 2
 
-    async def note(self, platform: LocalPlatform, name: str = "plain-0") -> None:
-        """One instance hears it in an answer, the others of it."""
+    async def announce(self, platform: LocalPlatform, name: str = "plain-0") -> None:
+        """Announce the leaving to one instance by an answer, and through it to the others."""
         platform.workers_by_id[name].says_leaving = True
         await ask_all(platform, "again", 4)
         await platform.until(
             lambda: all(state_of(entry, name).leaving for entry in platform.entries)
         )
 
-    async def check(self, platform: LocalPlatform) -> None:
+    async def check_no_arrivals(self, platform: LocalPlatform) -> None:
         worker = platform.workers_by_id["plain-0"]
         worker.wishes.arrivals.clear()
         self.assertEqual(set(await ask_all(platform, "again", 12)), {200})
         self.assertEqual(worker.wishes.arrivals, [])
 
-    def test_peers_hear_of_it_and_those_that_start_later(self) -> None:
+    def test_peers_learn_of_it_also_those_that_start_later(self) -> None:
         async def work(platform: LocalPlatform) -> None:
-            await self.note(platform)
+            await self.announce(platform)
             platform.store.fail(StoreFault.SILENT)
             later = await platform.add_instance(2)
             await platform.until(
@@ -182,13 +182,13 @@
             )
             platform.store.fail(StoreFault.NONE)
             await platform.until(lambda: later.ready)
-            await self.check(platform)
+            await self.check_no_arrivals(platform)
 
         self.play(work)
 
     def test_it_survives_a_lapse_a_move_and_a_reload(self) -> None:
         async def work(platform: LocalPlatform) -> None:
-            await self.note(platform)
+            await self.announce(platform)
             key = f"{UPSTREAMS_PREFIX}plain-0"
             kept = platform.store.item_by_key[key].value
             platform.store.delete(key)
@@ -200,19 +200,19 @@
             await platform.until(
                 lambda: all("plain-0" in entry.table.by_id for entry in platform.entries)
             )
-            await self.check(platform)
+            await self.check_no_arrivals(platform)
             other = platform.workers_by_id["plain-1"]
             assert other.server.port is not None
-            place = f"127.0.0.1:{other.server.port.getHost().port}"
-            platform.list_worker("plain-0", PLAIN, place, "south")
+            address = f"127.0.0.1:{other.server.port.getHost().port}"
+            platform.list_worker("plain-0", PLAIN, address, "south")
             first = platform.entries[0]
-            await platform.until(lambda: str(place) == _place(state_of(first, "plain-0")))
+            await platform.until(lambda: str(address) == _address(state_of(first, "plain-0")))
             first.reload(first.settings)
-            await self.check(platform)
+            await self.check_no_arrivals(platform)
 
         self.play(work)
 
-    def test_a_later_life_takes_requests_an_earlier_one_never_again(self) -> None:
+    def test_a_later_life_gets_requests_the_earlier_one_does_not(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             born = 1_700_000_000_000
             rest_all(platform, "plain", "60")
@@ -228,8 +228,8 @@
             )
             worker.start_again(born + 5000)
             assert worker.server.port is not None
-            place = f"127.0.0.1:{worker.server.port.getHost().port}"
-            platform.list_worker("plain-9", PLAIN, place, "north")
+            address = f"127.0.0.1:{worker.server.port.getHost().port}"
+            platform.list_worker("plain-9", PLAIN, address, "north")
             await platform.until(
                 lambda: not any(state_of(entry, "plain-9").leaving for entry in platform.entries)
             )
@@ -239,9 +239,9 @@
 
         self.play(work)
 
-    def test_while_the_store_is_away_and_peers_are_silent(self) -> None:
+    def test_it_holds_while_the_store_and_peers_are_silent(self) -> None:
         async def work(platform: LocalPlatform) -> None:
-            await self.note(platform)
+            await self.announce(platform)
             platform.store.fail(StoreFault.SILENT)
             first = platform.entries[0]
             with mock.patch.object(first.gossip, "receive"):
@@ -253,32 +253,32 @@
         self.play(work)
 
 
-def _place(state: UpstreamState) -> str:
+def _address(state: UpstreamState) -> str:
     return f"{state.listed.host}:{state.listed.port}"
 
 
 class SendingTest(RelayTest):
-    """What holds at the moment of sending, after each wait."""
+    """What must hold at the moment of sending, after each wait."""
 
     engines = 4
 
-    def bar_on(self, entry: RelayEntry, service: str, notice: Notice) -> Any:
-        """While a connection is opened, its upstream says something in another answer."""
+    def notice_on_connect(self, entry: RelayEntry, service: str, notice: Notice) -> Any:
+        """Give a notice of an upstream while a connection to it is opened."""
         table, clock = entry.table, entry.handler.clock
-        found = CheckedConnections.getConnection
-        barred: list[str] = []
+        original = CheckedConnections.getConnection
+        notified: list[str] = []
 
         def connect(pool: CheckedConnections, key: Any, endpoint: Any) -> Any:
             for state in table.of_service(service):
-                is_it = key[1:] == (state.listed.host.encode(), state.listed.port)
-                if is_it and not barred:
-                    barred.append(state.id)
+                matches = key[1:] == (state.listed.host.encode(), state.listed.port)
+                if matches and not notified:
+                    notified.append(state.id)
                     table.standings.hear(state.life, notice, "test", clock())
-            return found(pool, key, endpoint)
+            return original(pool, key, endpoint)
 
-        return mock.patch.object(CheckedConnections, "getConnection", connect), barred
+        return mock.patch.object(CheckedConnections, "getConnection", connect), notified
 
-    def test_a_word_that_comes_while_it_connects_is_heeded(self) -> None:
+    def test_a_notice_during_the_connect_is_respected(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             entry = platform.entries[0]
             for route, service in (("once", PLAIN), ("again", PLAIN), ("stream", ENGINES)):
@@ -289,55 +289,55 @@
                         state.standing = entry.table.standings.of(state.life)
                     for worker in platform.workers_by_id.values():
                         worker.wishes.arrivals.clear()
-                    patch, barred = self.bar_on(entry, service, notice)
+                    patch, notified = self.notice_on_connect(entry, service, notice)
                     spend = mock.patch.object(RetryWindow, "spend")
                     with self.subTest(f"{route} {notice}"), patch, spend as spent:
                         answer = await ask(platform, route, f"relay-0.{route}{notice.rest}")
                         self.assertEqual(answer.status, 200)
-                        self.assertEqual(len(barred), 1)
-                        worker = platform.workers_by_id[barred[0]]
+                        self.assertEqual(len(notified), 1)
+                        worker = platform.workers_by_id[notified[0]]
                         self.assertEqual(worker.wishes.arrivals, [])
-                        # It was no retry: nobody had seen it.
+                        # It was no retry: no upstream had seen the request.
                         spent.assert_not_called()
-                        self.assertIn("pondpin_attempts_withheld_total{", shown_metrics(entry))
+                        self.assertIn("pondpin_attempts_withheld_total{", rendered_metrics(entry))
 
         self.play(work)
 
-    def test_a_word_of_a_helper_that_comes_while_leases_are_taken_is_heeded(self) -> None:
+    def test_a_notice_of_a_helper_while_leases_are_acquired_is_respected(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             entry = platform.entries[0]
-            take = entry.late.leases.acquire
-            barred: list[str] = []
+            acquire = entry.late.leases.acquire
+            notified: list[str] = []
 
-            async def take_slowly(request: str, places: Any, tokens: int) -> Any:
-                result = await take(request, places, tokens)
-                if not barred and places:
-                    barred.append(places[0].upstream)
+            async def acquire_with_notice(request: str, places: Any, tokens: int) -> Any:
+                result = await acquire(request, places, tokens)
+                if not notified and places:
+                    notified.append(places[0].upstream)
                     entry.table.standings.hear(
                         places[0].life, Notice(rest=5.0), "test", entry.handler.clock()
                     )
                 return result
 
-            with mock.patch.object(entry.late.leases, "acquire", take_slowly):
+            with mock.patch.object(entry.late.leases, "acquire", acquire_with_notice):
                 answer = await ask(platform, "long", "relay-0.long", x_token_usage="460000,500")
             self.assertEqual(answer.status, 200)
-            self.assertTrue(barred)
+            self.assertTrue(notified)
             helpers = [
                 seen.headers.get("helpers", "")
                 for worker in platform.workers_by_id.values()
                 for seen in worker.seen
             ]
-            # It was seen before a connection was opened.
-            self.assertNotIn("pondpin_attempts_withheld_total{", shown_metrics(entry))
-            place = _place(state_of(entry, barred[0]))
-            self.assertFalse(any(place in named for named in helpers))
+            # The notice was respected before a connection was opened.
+            self.assertNotIn("pondpin_attempts_withheld_total{", rendered_metrics(entry))
+            address = _address(state_of(entry, notified[0]))
+            self.assertFalse(any(address in named for named in helpers))
             await platform.until(
                 lambda: not any(w.held_leases() for w in platform.workers_by_id.values())
             )
 
         self.play(work)
 
-    def test_a_stream_is_taken_up_again_where_nobody_leaves_or_rests(self) -> None:
+    def test_a_stream_resumes_at_an_upstream_that_neither_leaves_nor_rests(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             broken, resting = (platform.workers_by_id[f"engine-{n}"] for n in (0, 2))
             broken.faults = [WorkerFault.CUT] * 99
@@ -353,10 +353,10 @@
         self.play(work)
 
 
-class NobodyTest(RelayTest):
-    """All of a service leave or rest."""
+class UnavailableTest(RelayTest):
+    """All upstreams of a service leave or rest."""
 
-    def test_all_leave_refused_at_once_and_never_sent(self) -> None:
+    def test_if_all_leave_requests_are_refused_at_once_and_not_sent(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             for worker in platform.workers_by_id.values():
                 worker.says_leaving = True
@@ -372,7 +372,7 @@
 
         self.play(work)
 
-    def test_all_rest_refused_with_the_time_of_the_first_that_is_back(self) -> None:
+    def test_if_all_rest_requests_are_refused_until_the_first_returns(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             resting = rest_all(platform, "plain", "7")
             for number in range(3):
@@ -390,7 +390,7 @@
 
         self.play(work)
 
-    def test_a_rest_that_ends_well_inside_the_target_is_waited_for(self) -> None:
+    def test_a_request_waits_for_a_rest_that_ends_well_inside_its_target(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             resting = rest_all(platform, "plain", str(0.5 * REST_WAIT_SHARE * TARGET_SECONDS))
             await ask(platform, "again", "relay-0.first")
@@ -413,7 +413,7 @@
                 self.assertEqual(state.failure_rate.current(now), 0.0)
                 state.needs_probe = True
                 self.assertFalse(is_probe_due(state, now))
-                # It spoke a moment ago: its silence is no reason to ask.
+                # It answered a moment ago: no status query is needed.
                 self.assertTrue(await entry.late.reports.query_status(state))
             self.assertEqual(sum(w.reports for w in platform.workers_by_id.values()), 0)
 
@@ -421,45 +421,45 @@
 
 
 class FailureTest(unittest.TestCase):
-    """An upstream's own 503, which ran the request and asks for rest."""
+    """A 503 of an upstream that ran the request and asks for rest."""
 
-    def test_it_costs_no_health(self) -> None:
+    def test_it_is_no_failure(self) -> None:
         clock = FakeClock()
         for rest, failures in ((3.0, 0), (0.0, 1)):
             table = UpstreamTable("north")
             table.apply_list([ListedUpstream("a", PLAIN, "10.0.0.1", 80, "north", 8, False)], [])
             log = EventLog("x", clock, clock, os.open(os.devnull, os.O_WRONLY))
             metrics = Metrics("x", "north")
-            hearing = NoticeHandler(table, lambda: None, lambda: None, metrics, log, clock)
-            judge = PassiveHealth(table, hearing, metrics, log, clock)
+            notices = NoticeHandler(table, lambda: None, lambda: None, metrics, log, clock)
+            passive_health = PassiveHealth(table, notices, metrics, log, clock)
             plan = Plan(table.by_id["a"], (), None, 1)
             notice = Notice(rest=rest)
             head = AnswerHead(503, "a1", False, None, False, True, None, "", notice, ())
             began = clock()
-            judge.observe_head(plan, head, clock())
+            passive_health.observe_head(plan, head, clock())
             end = AttemptEnd(EndKind.ANSWERED, answer=WholeReply(503, (), b""))
-            judge.observe_end(plan, end, began)
+            passive_health.observe_end(plan, end, began)
             self.assertEqual(plan.lead.health.failures, failures)
 
 
 class EightTest(RelayTest):
-    """Eight instances beside each other, three of eight upstreams concerned."""
+    """Eight instances; three of eight upstreams of each service leave or rest."""
 
     instances = 8
     engines = 8
 
     async def load(self, platform: LocalPlatform, asked: int) -> tuple[list[Worker], list[int]]:
-        """Requests, 16 at once; returns the workers concerned and the statuses."""
+        """Send requests, 16 at once; return the workers that leave or rest, and the statuses."""
         for number in range(2, 8):
             platform.add_worker(f"plain-{number}", PLAIN, number)
         await platform.until(
             lambda: all(len(entry.table.of_service(PLAIN)) == 8 for entry in platform.entries)
         )
         names = [f"{kind}-{n}" for kind in ("engine", "plain") for n in range(3)]
-        concerned = [platform.workers_by_id[name] for name in names]
-        for worker in concerned[::2]:
+        notifying = [platform.workers_by_id[name] for name in names]
+        for worker in notifying[::2]:
             worker.rest = "3"
-        for worker in concerned[1::2]:
+        for worker in notifying[1::2]:
             worker.says_leaving = True
         statuses: list[int] = []
         for route in ("again", "stream"):
@@ -469,30 +469,30 @@
             for start in range(0, len(batches), 16):
                 answers = await asyncio.gather(*batches[start : start + 16])
                 statuses += [answer.status for answer in answers]
-        return concerned, statuses
+        return notifying, statuses
 
-    def test_none_sends_late_and_none_over_two_in_a_rest(self) -> None:
+    def test_no_sends_are_late_and_at_most_two_are_in_a_rest(self) -> None:
         async def work(platform: LocalPlatform) -> None:
-            concerned, statuses = await self.load(platform, ASKED_OF_EIGHT)
-            wishes = [worker.wishes for worker in concerned]
+            notifying, statuses = await self.load(platform, REQUEST_COUNT)
+            wishes = [worker.wishes for worker in notifying]
             self.assertEqual(sum(item.late(2.0) for item in wishes), 0)
             self.assertEqual(windows_over(wishes), 0)
             served = sum(status == 200 for status in statuses)
-            self.assertGreaterEqual(served, SERVED_SHARE * ASKED_OF_EIGHT)
+            self.assertGreaterEqual(served, MIN_SERVED_SHARE * REQUEST_COUNT)
 
         self.play(work)
 
-    def test_few_are_refused_in_the_first_moments(self) -> None:
+    def test_few_are_refused_at_first(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             _, statuses = await self.load(platform, 320)
-            # A request may meet two that nobody knew of yet: at the first moment only.
+            # A request may meet two upstreams whose notice is not known yet: only at first.
             self.assertLessEqual(sum(status != 200 for status in statuses), 3)
 
         self.play(work)
 
 
 class CodesTest(unittest.TestCase):
-    def test_both_are_refusals_that_did_not_run(self) -> None:
+    def test_both_are_refusals_without_a_run(self) -> None:
         for code in (Code.UPSTREAMS_REST, Code.UPSTREAMS_LEAVE):
             self.assertEqual((INFO_BY_CODE[code].status, INFO_BY_CODE[code].retry), (503, True))
 
--- a/pondpin/tests/test_relay_quarantine.py
+++ b/pondpin/tests/test_relay_quarantine.py
@@ -1,13 +1,11 @@
-"""A request that ends the workers that run it.
-
-Users saw: repeats of one request kept reaching workers, each ending two of them, 19 and 35 in all
-on two occasions; streams beside it lost their worker, went to the next one and lost that too.
-Order: a prompt reaches a worker, which ends 0.1 s later; the instance sends it to a second one,
-which ends; the caller gets 502 and asks again, at any instance; and so on, while ended workers come
-back after three seconds.
-Cause: nothing was remembered of a request beyond its own attempts, and nobody told the others.
-Proof: of 40 ended workers that the logs named, 37 had exactly one request that had not begun to be
-answered, and it was the same request at both workers of a pair.
+"""Requests that crash the workers running them are quarantined.
+
+Guards against repeats of such a request that reach worker after worker. A worker crashed 0.1 s
+after it got the prompt, the retry crashed a second one, the caller got 502 and repeated the request
+at any instance, while crashed workers restarted after three seconds: 19 and 35 workers crashed on
+two occasions, and streams on them lost one worker after another. Instances remembered nothing of a
+request beyond its own attempts, and did not inform their peers. Of 40 crashed workers in the logs,
+37 had exactly one request whose answer had not begun, the same one at both workers of a pair.
 """
 
 import asyncio
@@ -43,8 +41,8 @@
 
 DEADLY = b"the same prompt again"
 REPEATS = 12
-# Three prove it, and one more may have begun meanwhile.
-MOST_ENDED = 4
+# Three ends prove it, and one more run may have begun meanwhile.
+MAX_CRASHES = 4
 
 
 def make_deadly(platform: LocalPlatform) -> None:
@@ -57,7 +55,7 @@
 
 
 async def ask_deadly(platform: LocalPlatform, route: str, number: int) -> Answer | None:
-    """A repeat at the next instance; None when the answer broke off."""
+    """Repeat the request at the next instance; None if the answer broke off."""
     instance = number % len(platform.entries)
     try:
         return await ask(platform, route, f"deadly-{number}", instance, body=DEADLY)
@@ -83,7 +81,7 @@
             make_deadly(platform)
             for number in range(REPEATS):
                 await ask_deadly(platform, route, number)
-            self.assertLessEqual(crashes(platform), MOST_ENDED)
+            self.assertLessEqual(crashes(platform), MAX_CRASHES)
             for number in range(6):
                 answer = await ask(platform, route, f"other-{number}", number % 3, body=b"other")
                 self.assertEqual(answer.status, 200)
@@ -98,7 +96,7 @@
 
 
 def identity_of(route: str, body: bytes = DEADLY) -> int:
-    """The identity of a request of `ask`."""
+    """The identity of a request sent by `ask`."""
     return identify(make_key(IDENTITY_KEY), TENANT, HOST, f"/{route}/x?y=1;z".encode(), body)
 
 
@@ -126,7 +124,7 @@
 class ProofTest(GuardCase):
     """What proves that a life ended under a request, and what doesn't."""
 
-    def nothing_proved_by(self, fault: WorkerFault) -> None:
+    def check_proves_nothing(self, fault: WorkerFault) -> None:
         async def work(platform: LocalPlatform) -> None:
             await self.until_listed(platform)
             fail_next(platform, fault, 2)
@@ -140,18 +138,18 @@
         self.play(work)
 
     def test_a_reset_proves_nothing(self) -> None:
-        self.nothing_proved_by(WorkerFault.RESET)
+        self.check_proves_nothing(WorkerFault.RESET)
 
-    def test_an_answer_that_is_cut_proves_nothing(self) -> None:
-        self.nothing_proved_by(WorkerFault.CUT_EVENT)
+    def test_a_truncated_answer_proves_nothing(self) -> None:
+        self.check_proves_nothing(WorkerFault.CUT_EVENT)
 
     def test_a_worker_s_own_error_proves_nothing(self) -> None:
-        self.nothing_proved_by(WorkerFault.ERROR)
+        self.check_proves_nothing(WorkerFault.ERROR)
 
     def test_a_worker_that_hangs_proves_nothing(self) -> None:
-        self.nothing_proved_by(WorkerFault.HANG)
+        self.check_proves_nothing(WorkerFault.HANG)
 
-    def test_the_end_of_a_worker_that_leaves_proves_nothing(self) -> None:
+    def test_the_end_of_a_leaving_worker_proves_nothing(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             await self.until_listed(platform)
             make_deadly(platform)
@@ -197,8 +195,8 @@
 
         self.play(work)
 
-    def test_an_end_is_taken_back_when_the_life_is_heard_again(self) -> None:
-        """A cut may refuse connections to workers that live on."""
+    def test_an_end_is_void_if_the_life_sends_data_afterwards(self) -> None:
+        """A partition may refuse connections to workers that live on."""
 
         async def work(platform: LocalPlatform) -> None:
             await self.until_listed(platform)
@@ -210,21 +208,21 @@
 
             with mock.patch.object(first.guard.tracker, "reach", refuse):
                 await ask(platform, "again", "a1")
-            # The second try was served, which clears the request; others are still suspect.
+            # The retry was served, which clears the request; other requests are still suspect.
             state, other = first.table.of_service(PLAIN)[:2]
             now = first.guard.clock()
-            for identity, place in ((7, state), (8, other)):
-                first.guard.quarantine.note_end(identity, LifeEnd(place.life, now))
-                run = first.guard.tracker.begin(9, (place,), 0.0)
+            for identity, upstream in ((7, state), (8, other)):
+                first.guard.quarantine.note_end(identity, LifeEnd(upstream.life, now))
+                run = first.guard.tracker.begin(9, (upstream,), 0.0)
                 run.began = now - 1.0 if identity == 7 else now + 0.5
-                run.last_data_at = place.last_seen_at = now + 1.0
+                run.last_data_at = upstream.last_seen_at = now + 1.0
             first.guard.step(now + 1.0)
-            # What came on a newer connection may be a later life's.
+            # Data on a newer connection may come from a later life.
             self.assertEqual((ends_of(first, 7), len(ends_of(first, 8))), ([], 1))
 
         self.play(work)
 
-    def test_an_end_that_the_list_denies_is_taken_back_and_one_that_it_shows_is_kept(self) -> None:
+    def test_an_end_is_void_if_the_list_keeps_the_life_and_kept_if_it_does_not(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             await self.until_listed(platform)
             first = platform.entries[0]
@@ -238,7 +236,7 @@
 
         self.play(work)
 
-    def test_a_worker_that_is_back_at_once_is_told_by_the_list(self) -> None:
+    def test_the_list_shows_the_end_of_a_worker_that_restarts_at_once(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             worker = platform.add_worker("quick", "quick", born=1_700_000_000_000)
             routes = [sample_route("quick", "safe", "quick", maxAttempts=1)]
@@ -250,8 +248,8 @@
             await ask(platform, "quick")
             self.assertEqual(ends_of(first, identity_of("quick", b"question")), [])
             worker.start_again(1_700_000_000_001)
-            place = first.table.by_id["quick"].listed
-            platform.list_worker("quick", "quick", f"{place.host}:{place.port}", place.data_center)
+            entry = first.table.by_id["quick"].listed
+            platform.list_worker("quick", "quick", f"{entry.host}:{entry.port}", entry.data_center)
             identity = identity_of("quick", b"question")
             await platform.until(lambda: len(ends_of(first, identity)) == 1)
 
@@ -259,23 +257,23 @@
 
 
 class RunTest(unittest.TestCase):
-    """Who may have just begun to run at a moment."""
+    """Whether a request may have just started to run at a moment."""
 
-    def test_who_waits_behind_others_may_have_begun_and_who_is_read_may_not(self) -> None:
+    def test_a_queued_request_may_be_starting_and_one_in_prefill_may_not(self) -> None:
         light = Run(1, 100.0, (), prefill_seconds=0.02)
         long = Run(2, 100.0, (), prefill_seconds=3.0)
         self.assertTrue(light.may_be_starting(100.1))
         self.assertFalse(long.may_be_starting(101.0))
         self.assertTrue(long.may_be_starting(103.0))
 
-    def test_who_was_answered_for_a_while_has_not_just_begun(self) -> None:
+    def test_a_request_answered_for_a_while_is_not_starting(self) -> None:
         run = Run(1, 100.0, (), prefill_seconds=0.02, answered_at=100.2)
         self.assertTrue(run.may_be_starting(100.4))
         self.assertFalse(run.may_be_starting(100.6))
 
 
 class HoldTest(GuardCase):
-    """What a request meets that is suspected or quarantined."""
+    """How suspected and quarantined requests are handled."""
 
     async def until_key(self, platform: LocalPlatform, entry: RelayEntry, key: str) -> None:
         def knows() -> bool:
@@ -290,21 +288,21 @@
             end = LifeEnd(1000 + life, now, settled=True)
             entry.guard.quarantine.note_end(identity, end)
 
-    def test_a_quarantined_request_is_refused_at_once_and_truly_has_not_run(self) -> None:
+    def test_a_quarantined_request_is_refused_at_once_and_has_not_run(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             await self.until_listed(platform)
             for route in ("stream", "again", "once"):
                 self.prove(platform.entries[0], identity_of(route), 3)
                 answer = await ask(platform, route, f"{route}-1", body=DEADLY)
                 body = msgspec.json.decode(answer.body)["error"]
-                told = (answer.status, body["code"], body["ran"], body["retry"])
-                self.assertEqual(told, (503, Code.QUARANTINED, "not run", False))
+                refusal = (answer.status, body["code"], body["ran"], body["retry"])
+                self.assertEqual(refusal, (503, Code.QUARANTINED, "not run", False))
                 self.assertGreater(float(answer.headers["retry-after"]), 50.0)
                 self.assertEqual(runs(platform, f"{route}-1"), 0)
 
         self.play(work)
 
-    def test_another_account_s_like_request_is_served(self) -> None:
+    def test_the_same_request_of_another_account_is_served(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             await self.until_listed(platform)
             tenants = [{"name": TENANT, "apiKeys": [KEY]}, {"name": "other", "apiKeys": ["k2"]}]
@@ -317,7 +315,7 @@
 
         self.play(work)
 
-    def test_another_key_of_the_account_is_held_back_too(self) -> None:
+    def test_another_key_of_the_account_is_refused_too(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             await self.until_listed(platform)
             platform.publish(2, tenants=[{"name": TENANT, "apiKeys": [KEY, "k2"]}])
@@ -351,7 +349,7 @@
             second = platform.entries[1].guard
             await platform.until(lambda: second.quarantine.is_running(identity, second.clock()))
             other = asyncio.ensure_future(ask(platform, "stream", "other", 1))
-            # The first one's whole answer clears it; only then the other one runs.
+            # The complete answer to the first one clears the request; only then the other one runs.
             self.assertEqual((await one).status, 200)
             answer = await other
             self.assertEqual(answer.status, 200)
@@ -359,7 +357,7 @@
 
         self.play(work)
 
-    def test_a_suspect_is_read_by_one_engine_only(self) -> None:
+    def test_a_suspect_is_prefilled_by_one_engine_only(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             await self.until_listed(platform)
             await platform.until(platform.entries[0].knows_peers)
@@ -380,17 +378,17 @@
             platform, "long", attempt, body=body, x_token_usage=tokens, x_deadline_ms=deadline
         )
 
-    def test_a_caller_that_leaves_while_its_upstream_is_looked_at_leaves_no_run(self) -> None:
+    def test_a_caller_that_leaves_during_a_liveness_check_leaves_no_run(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             await self.until_listed(platform)
             first = platform.entries[0]
             self.prove(first, identity_of("stream"), 1)
             fail_next(platform, WorkerFault.RESET)
-            looking, looked = asyncio.Event(), asyncio.Event()
+            checking, released = asyncio.Event(), asyncio.Event()
 
             async def reach(host: str, port: int) -> Reach:
-                looking.set()
-                await looked.wait()
+                checking.set()
+                await released.wait()
                 return Reach.SILENT
 
             with (
@@ -398,12 +396,12 @@
                 mock.patch("pondpin.relay.attempts.liveness_checks.ANSWER_SECONDS", 30.0),
             ):
                 task = asyncio.ensure_future(ask(platform, "stream", body=DEADLY))
-                await looking.wait()
+                await checking.wait()
                 self.assertTrue(first.guard.quarantine_sync.running_by_identity)
                 task.cancel()
                 await platform.until(lambda: not first.handler.open_requests)
             self.assertEqual(first.guard.quarantine_sync.running_by_identity, {})
-            looked.set()
+            released.set()
             await platform.until(lambda: not first.guard.tracker.checks._checks_by_life)
 
         self.play(work)
@@ -411,7 +409,7 @@
     def seen(self, platform: LocalPlatform) -> list[Any]:
         return [item for worker in engines(platform) for item in worker.seen]
 
-    def test_no_second_try_and_no_retry_spent_after_the_second_end(self) -> None:
+    def test_no_retry_and_no_retry_budget_spent_after_the_second_end(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             await self.until_listed(platform)
             make_deadly(platform)
@@ -422,7 +420,7 @@
 
         self.play(work)
 
-    def test_who_ran_beside_it_is_served_and_free(self) -> None:
+    def test_other_requests_at_the_same_workers_are_served_and_free(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             await self.until_listed(platform)
             await platform.until(platform.entries[0].knows_peers)
@@ -430,14 +428,14 @@
             for worker in engines(platform):
                 worker.event_seconds = 0.03
                 worker.events = 60
-            beside = [
+            others = [
                 asyncio.ensure_future(ask(platform, "stream", f"b{n}", n % 2, body=b"b%d" % n))
                 for n in range(4)
             ]
-            await platform.until(lambda: self.count_answered(platform) == len(beside))
+            await platform.until(lambda: self.count_answered(platform) == len(others))
             for number in range(4):
                 await ask_deadly(platform, "stream", number)
-            answers = await asyncio.gather(*beside)
+            answers = await asyncio.gather(*others)
             self.assertEqual({answer.status for answer in answers}, {200})
             expected = show(identity_of("stream"))
             for entry in platform.entries:
@@ -446,18 +444,18 @@
         self.play(work)
 
     def count_answered(self, platform: LocalPlatform) -> int:
-        """Requests that have been answered for a while by the upstream they are at."""
-        lives = [entry.guard.tracker for entry in platform.entries]
+        """The number of requests that their upstreams have been answering for a while."""
+        trackers = [entry.guard.tracker for entry in platform.entries]
         return sum(
-            run.was_answered(watch.clock())
-            for watch in lives
-            for runs in watch.runs_by_life.values()
+            run.was_answered(item.clock())
+            for item in trackers
+            for runs in item.runs_by_life.values()
             for run in runs
         )
 
 
-class ToldTest(GuardCase):
-    def test_who_starts_again_is_told_before_it_is_ready(self) -> None:
+class SyncTest(GuardCase):
+    def test_a_restarted_instance_is_synced_before_it_is_ready(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             await self.until_listed(platform)
             make_deadly(platform)
@@ -468,8 +466,8 @@
             await platform.restart_instance(1)
             await platform.until(lambda: platform.entries[1].ready)
             identity = identity_of("stream")
-            judgement = held_requests(platform.entries[1].guard)
-            self.assertEqual([item.identity for item in judgement], [show(identity)])
+            held = held_requests(platform.entries[1].guard)
+            self.assertEqual([item.identity for item in held], [show(identity)])
             await ask_deadly(platform, "stream", 1)
             self.assertEqual(crashes(platform), ended)
 
@@ -482,8 +480,8 @@
             for number in range(4):
                 await ask_deadly(platform, "stream", number)
             first = platform.entries[0]
-            place = first.metrics_server.listen(platform.reactor, Endpoint("127.0.0.1", 0))
-            url = f"http://{place}{QUARANTINE_PATH}"
+            endpoint = first.metrics_server.listen(platform.reactor, Endpoint("127.0.0.1", 0))
+            url = f"http://{endpoint}{QUARANTINE_PATH}"
             shown = msgspec.json.decode((await platform.http.call("GET", url)).body)["requests"]
             name = show(identity_of("stream"))
             self.assertEqual(
--- a/pondpin/tests/test_suspended.py
+++ b/pondpin/tests/test_suspended.py
@@ -1,9 +1,9 @@
-"""What an instance believes after its machine was suspended for seconds.
+"""Ages and timers after the machine was suspended for seconds.
 
-Story: a suspended machine's steady clock stands still, and so did every age here: a key that was
-taken away, a peer, a lease, an idle connection were as young as before. Cause: `steady_now` and the
-event loop read CLOCK_MONOTONIC. Proof: each test below fails with that clock. Two clocks part here
-by some seconds; the first decision afterwards, before any timer has fired, must know it.
+Guards against CLOCK_MONOTONIC in `steady_now` and the event loop: it stops while the machine is
+suspended, so a revoked key, a peer, a lease or an idle connection seemed as young as before. Each
+test fails with that clock. Here CLOCK_BOOTTIME gets ahead of it by some seconds, and the first
+decision afterwards, before any timer has fired, must be right.
 """
 
 import asyncio
@@ -36,20 +36,20 @@
 from pondpin.tests.support import RelayTest, ask, run_async, the_loop
 from pondpin.tests.test_relay_planner import make_call
 
-AWAY_SECONDS = 10.0
+SUSPEND_SECONDS = 10.0
 NO_DESCRIPTOR = -1
 
 
 class TwoClocks:
-    """CLOCK_BOOTTIME goes on while CLOCK_MONOTONIC stands still."""
+    """CLOCK_BOOTTIME advances while CLOCK_MONOTONIC stands still."""
 
     def __init__(self) -> None:
-        self.away = 0.0
+        self.suspended_seconds = 0.0
         self._read = time.clock_gettime
 
     def __call__(self, clock: int) -> float:
-        found = self._read(clock)
-        return found + self.away if clock == time.CLOCK_BOOTTIME else found
+        now = self._read(clock)
+        return now + self.suspended_seconds if clock == time.CLOCK_BOOTTIME else now
 
 
 class SuspendedCase(unittest.TestCase):
@@ -57,18 +57,18 @@
         self.clocks = TwoClocks()
         self.enterContext(mock.patch.object(time, "clock_gettime", self.clocks))
 
-    def suspend(self, seconds: float = AWAY_SECONDS) -> None:
-        self.clocks.away += seconds
+    def suspend(self, seconds: float = SUSPEND_SECONDS) -> None:
+        self.clocks.suspended_seconds += seconds
 
 
 class AgesTest(SuspendedCase):
-    """Ages that are looked at when something is decided."""
+    """Ages that are checked on a decision."""
 
-    def test_a_peer_that_was_heard_before_is_not_alive(self) -> None:
+    def test_a_peer_seen_before_is_not_alive(self) -> None:
         table = PeerTable(1)
-        seen = PeerRecord("a", 2, "10.0.0.1", 1, 1, steady_now(), "north", True)
-        table.by_host[seen.host] = seen
-        table._note_alive(seen, None)
+        peer = PeerRecord("a", 2, "10.0.0.1", 1, 1, steady_now(), "north", True)
+        table.by_host[peer.host] = peer
+        table._note_alive(peer, None)
         self.assertEqual(len(table.alive(steady_now())), 1)
         self.suspend()
         self.assertEqual(table.alive(steady_now()), [])
@@ -79,48 +79,48 @@
         self.suspend()
         self.assertFalse(health.is_ejected(steady_now()))
 
-    def test_retries_of_before_have_left_the_window(self) -> None:
-        window = RetryWindow(RetryBounds(ratio=0.0, allowance=8.0, window=AWAY_SECONDS))
+    def test_earlier_retries_have_left_the_window(self) -> None:
+        window = RetryWindow(RetryBounds(ratio=0.0, allowance=8.0, window=SUSPEND_SECONDS))
         while window.spend(steady_now(), 1):
             pass
-        self.suspend(AWAY_SECONDS + 0.1)
+        self.suspend(SUSPEND_SECONDS + 0.1)
         self.assertTrue(window.has_budget(steady_now(), 1))
 
     def test_a_quarantine_has_lapsed(self) -> None:
         quarantine = Quarantine()
         for life in range(3):
             quarantine.note_end(1, LifeEnd(life, steady_now()))
-        around = Surroundings(lives=18)
-        verdict = quarantine.judge(1, steady_now(), around).verdict
+        surroundings = Surroundings(lives=18)
+        verdict = quarantine.judge(1, steady_now(), surroundings).verdict
         self.assertIs(verdict, Verdict.QUARANTINED)
         self.suspend(quarantine_seconds(3))
-        verdict = quarantine.judge(1, steady_now(), around).verdict
+        verdict = quarantine.judge(1, steady_now(), surroundings).verdict
         self.assertIs(verdict, Verdict.SUSPECTED)
 
-    def test_the_time_that_is_left_goes_to_the_upstream(self) -> None:
+    def test_the_upstream_gets_the_remaining_time(self) -> None:
         listed = ListedUpstream("e0", "engines", "10.0.0.1", 80, "north", 8, False)
         call = make_call(2000)
-        nothing: Any = None
-        handed_on = []
+        http: Any = None
+        forwarded = []
 
         class Dialect:
             def forward_headers(self, headers: Any, sent: Any) -> list[Any]:
-                handed_on.append(sent.seconds_left)
+                forwarded.append(sent.seconds_left)
                 return []
 
         dialect: Any = Dialect()
-        attempts = AttemptRunner(nothing, dialect, steady_now)
+        runner = AttemptRunner(http, dialect, steady_now)
         plan = Plan(UpstreamState(listed), (), None, 1)
         deadline = steady_now() + 15.0
-        late = mock.Mock(wraps=call, deadline=deadline)
+        timed_call = mock.Mock(wraps=call, deadline=deadline)
         for _ in range(2):
-            attempts._exact_call(late, plan, (), Progress(), steady_now())
+            runner._exact_call(timed_call, plan, (), Progress(), steady_now())
             self.suspend()
-        self.assertAlmostEqual(handed_on[0] - handed_on[1], AWAY_SECONDS, delta=1.0)
+        self.assertAlmostEqual(forwarded[0] - forwarded[1], SUSPEND_SECONDS, delta=1.0)
 
 
 class AsyncAgesTest(SuspendedCase):
-    """Ages that tasks and connections go by."""
+    """Ages that tasks and connections depend on."""
 
     def play(self, work: Callable[[], Awaitable[None]]) -> None:
         async def whole() -> None:
@@ -132,23 +132,23 @@
         async def work() -> None:
             reactor = the_loop()[1]
             fired = asyncio.Event()
-            reactor.callLater(AWAY_SECONDS - 1.0, fired.set)
+            reactor.callLater(SUSPEND_SECONDS - 1.0, fired.set)
             began = time.monotonic()
             with self.assertRaises(TimeoutError):
-                async with asyncio.timeout(AWAY_SECONDS - 1.0):
+                async with asyncio.timeout(SUSPEND_SECONDS - 1.0):
                     self.suspend()
                     await asyncio.Event().wait()
             await fired.wait()
-            self.assertLess(time.monotonic() - began, AWAY_SECONDS / 2)
+            self.assertLess(time.monotonic() - began, SUSPEND_SECONDS / 2)
 
         self.play(work)
 
-    def test_a_report_of_before_is_no_sign_of_life(self) -> None:
+    def test_an_earlier_report_is_no_sign_of_life(self) -> None:
         class Port:
             asked = 0
 
             async def read_report(
-                self, host: str, port: int, timeout: float, hear: Hear
+                self, host: str, port: int, timeout: float, on_head: Hear
             ) -> EngineReport:
                 self.asked += 1
                 return EngineReport(0, 0)
@@ -169,7 +169,7 @@
 
         self.play(work)
 
-    def test_memory_that_nothing_used_is_not_renewed(self) -> None:
+    def test_unused_leases_are_not_renewed(self) -> None:
         class Port:
             renewed = 0
 
@@ -185,15 +185,15 @@
             log = EventLog("a", steady_now, time.time, NO_DESCRIPTOR)
             leases = LeaseManager(port, "a", log)
             group = LeaseGroup("r", (PartPlace("e0", "10.0.0.1", 80, "l"),), 1000)
-            keeping = asyncio.ensure_future(leases.keep_alive(group, 0.1, lambda: False))
+            renewal = asyncio.ensure_future(leases.keep_alive(group, 0.1, lambda: False))
             await asyncio.sleep(0)
             self.suspend(UNUSED_SECONDS + 1.0)
-            await keeping
+            await renewal
             self.assertEqual(port.renewed, 0)
 
         self.play(work)
 
-    def test_an_idle_connection_is_not_used_again(self) -> None:
+    def test_an_idle_connection_is_not_reused(self) -> None:
         async def work() -> None:
             reactor = the_loop()[1]
             server = WebServer(reactor)
@@ -202,8 +202,8 @@
                 reply.send(200, {}, b"")
 
             server.route("", answer)
-            place = server.listen(reactor, Endpoint("127.0.0.1", 0))
-            client = HttpClient(reactor, 1.0, idle_seconds=AWAY_SECONDS / 2)
+            endpoint = server.listen(reactor, Endpoint("127.0.0.1", 0))
+            client = HttpClient(reactor, 1.0, idle_seconds=SUSPEND_SECONDS / 2)
             used = []
             real_put = client._pool._putConnection
 
@@ -212,10 +212,10 @@
                 real_put(key, connection)
 
             with mock.patch.object(client._pool, "_putConnection", put):
-                await client.call("GET", f"http://{place}/")
-                await client.call("GET", f"http://{place}/")
+                await client.call("GET", f"http://{endpoint}/")
+                await client.call("GET", f"http://{endpoint}/")
                 self.suspend()
-                await client.call("GET", f"http://{place}/")
+                await client.call("GET", f"http://{endpoint}/")
             self.assertIs(used[0], used[1])
             self.assertIsNot(used[1], used[2])
             await client.close()
@@ -226,17 +226,17 @@
 
 
 class InstanceTest(RelayTest):
-    """A whole instance: its first decision after waking."""
+    """The first decision of an instance after its machine resumed."""
 
     def setUp(self) -> None:
         self.clocks = TwoClocks()
         self.enterContext(mock.patch.object(time, "clock_gettime", self.clocks))
 
-    def test_keys_are_refused_whose_proof_is_older_than_it_seems(self) -> None:
+    def test_keys_are_refused_after_their_proof_expired_meanwhile(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             entry = platform.entries[0]
             self.assertTrue(entry.beliefs().accepts_keys(steady_now()))
-            self.clocks.away += AWAY_SECONDS
+            self.clocks.suspended_seconds += SUSPEND_SECONDS
             self.assertFalse(entry.beliefs().accepts_keys(steady_now()))
             self.assertFalse(entry.ready)
             # It reads the source again and serves.
@@ -245,14 +245,14 @@
 
         self.play(work)
 
-    def test_a_newer_configuration_is_known_for_longer_than_it_seems(self) -> None:
+    def test_the_suspension_counts_as_time_behind(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             publication = platform.entries[0].publication
             publication.receive_peer_version(PublishedVersion(10**6), steady_now())
-            self.clocks.away += 2.0
+            self.clocks.suspended_seconds += 2.0
             self.assertGreaterEqual(publication.behind_seconds(steady_now()), 2.0)
-            beliefs = platform.entries[0].beliefs()
-            self.assertGreaterEqual(beliefs.behind_seconds, beliefs.max_behind_seconds)
+            state = platform.entries[0].beliefs()
+            self.assertGreaterEqual(state.behind_seconds, state.max_behind_seconds)
 
         self.play(work)
 
