--- a/pondpin/relay/attempts/__init__.py
+++ b/pondpin/relay/attempts/__init__.py
@@ -1,1 +1,1 @@
-"""A request on its way: admission, attempts, the final answer."""
+"""Serving a request: admission, attempts, the final response."""
--- a/pondpin/relay/attempts/admission.py
+++ b/pondpin/relay/attempts/admission.py
@@ -48,7 +48,7 @@
         return self.max_proof_age is None or self.proof_age(now) < self.max_proof_age
 
     def retry_seconds(self, request: str) -> float:
-        """Retry delay of a request that is refused for want of a proof."""
+        """Retry delay of a request refused for lack of a proof."""
         if not self.has_live_peers:
             return RETRY_SECONDS
         share = xxhash.xxh32_intdigest(request.encode()) / HASH_RANGE
@@ -66,23 +66,23 @@
     timeout: float
 
 
-def admit(state: AdmissionState, facts: RequestFacts, path: str, now: float) -> Admitted:
-    """Admit a request, or raise PondpinError that says that it has not run."""
+def admit(state: AdmissionState, metadata: RequestFacts, path: str, now: float) -> Admitted:
+    """Admit a request, or raise PondpinError that says 'not run'."""
     configuration = state.configuration
     if configuration is None:
         raise PondpinError(Code.NOT_READY, retry_after=RETRY_SECONDS)
-    route = find_route(configuration, facts.host, path)
+    route = find_route(configuration, metadata.host, path)
     if route is None:
-        raise _not_found(Code.UNKNOWN_PATH, state, facts, now)
+        raise _not_found(Code.UNKNOWN_PATH, state, metadata, now)
     account, rank = "", route.priority
     if needs_key(configuration, route):
-        found = find_account(configuration, facts.key)
+        found = find_account(configuration, metadata.key)
         if found is None:
-            raise _not_found(Code.UNKNOWN_KEY, state, facts, now)
-        check_proof(state, facts, now)
+            raise _not_found(Code.UNKNOWN_KEY, state, metadata, now)
+        check_proof(state, metadata, now)
         account = found.name
         rank = route.priority if found.priority is None else found.priority
-    seconds = DEFAULT_DEADLINE_SECONDS if facts.deadline is None else facts.deadline
+    seconds = DEFAULT_DEADLINE_SECONDS if metadata.deadline is None else metadata.deadline
     if route.timeout > 0:
         seconds = min(seconds, route.timeout)
     if seconds <= 0:
@@ -90,11 +90,11 @@
     return Admitted(configuration, route, account, max(0, min(9, rank)), seconds)
 
 
-def check_proof(state: AdmissionState, facts: RequestFacts, now: float) -> None:
+def check_proof(state: AdmissionState, metadata: RequestFacts, now: float) -> None:
     """Raise PondpinError if the last proof is too old to accept keys."""
     if not state.accepts_keys(now):
         detail = f"{state.proof_age(now):.2f} s old"
-        retry_after = state.retry_seconds(facts.attempt_id)
+        retry_after = state.retry_seconds(metadata.attempt_id)
         raise PondpinError(Code.NOT_PROVED, detail, retry_after=retry_after)
 
 
@@ -109,10 +109,12 @@
         raise PondpinError(Code.NOT_PROVED, detail, retry_after=RETRY_SECONDS)
 
 
-def _not_found(code: Code, state: AdmissionState, facts: RequestFacts, now: float) -> PondpinError:
+def _not_found(
+    code: Code, state: AdmissionState, metadata: RequestFacts, now: float
+) -> PondpinError:
     age = state.proof_age(now)
     if age < FRESH_PROOF_SECONDS:
         return PondpinError(code)
     detail = f"{code.name}, but the configuration is {age:.2f} s old"
-    retry_after = state.retry_seconds(facts.attempt_id)
+    retry_after = state.retry_seconds(metadata.attempt_id)
     return PondpinError(Code.NOT_PROVED, detail, retry_after=retry_after)
--- a/pondpin/relay/attempts/attempt.py
+++ b/pondpin/relay/attempts/attempt.py
@@ -27,7 +27,7 @@
     """Receives what an attempt observes of its upstream, and decides on retries."""
 
     def on_head(self, head: AnswerHead) -> None:
-        """Handle the head of the answer."""
+        """Handle the head of the response."""
         ...
 
     def on_first_event(self) -> None:
@@ -105,7 +105,7 @@
         return number < 0 or number > self._progress.last_number
 
     def on_end(self, whole: bool) -> None:
-        """Handle the end; a partial event at the end means a truncated answer."""
+        """Handle the end; a partial event at the end means a truncated response."""
         self._finish(whole and not self._splitter.has_partial)
 
     def _finish(self, whole: bool) -> None:
@@ -210,7 +210,7 @@
     async def _is_unresponsive(
         self, timeouts: StallTimeouts, observer: AttemptObserver, since: float
     ) -> bool:
-        """Query a silent upstream's status; True if it doesn't answer and a retry is possible."""
+        """Whether a silent upstream fails a status query, and a retry is possible."""
         if timeouts.query_seconds is None or self._clock() - since < timeouts.query_seconds:
             return False
         return not await observer.query_status() and observer.may_retry()
@@ -238,7 +238,7 @@
         return min(left, max(0.0, since + timeout - self._clock()))
 
     def _check_head(self, call: RelayCall, head: AnswerHead) -> str:
-        """Why the answer can't belong to the request; empty if it does."""
+        """Why the response can't belong to the request; empty if it does."""
         if head.attempt_id and head.attempt_id != call.id:
             return f"an answer to {head.attempt_id}"
         if head.status < FIRST_FAILURE and not head.attempt_id:
@@ -258,8 +258,8 @@
             return AttemptEnd(EndKind.STALLED, "the answer stopped")
         if head.not_executed:
             return AttemptEnd(EndKind.NOT_EXECUTED, f"status {head.status}", at_fault=head.at_fault)
-        answer = WholeReply(head.status, head.headers, body)
-        return AttemptEnd(EndKind.ANSWERED, answer=answer)
+        response = WholeReply(head.status, head.headers, body)
+        return AttemptEnd(EndKind.ANSWERED, answer=response)
 
     async def _relay_events(
         self,
--- a/pondpin/relay/attempts/attempt_ends.py
+++ b/pondpin/relay/attempts/attempt_ends.py
@@ -28,11 +28,11 @@
     return PondpinError(Code.UPSTREAM_LOST, f"{error.code.name}: {error.detail}", Ran.UNKNOWN)
 
 
-def is_retryable_answer(call: RelayCall, end: AttemptEnd) -> bool:
+def is_retryable_response(call: RelayCall, end: AttemptEnd) -> bool:
     """Whether an upstream's own failure may be retried at another one."""
-    answer = end.answer
-    assert answer is not None, "an answered attempt has its answer"
-    return call.route.idempotent and answer.status >= FIRST_SERVER_ERROR
+    response = end.answer
+    assert response is not None, "an answered attempt has its answer"
+    return call.route.idempotent and response.status >= FIRST_SERVER_ERROR
 
 
 def final_error(call: RelayCall, progress: Progress, end: AttemptEnd, now: float) -> PondpinError:
@@ -50,7 +50,7 @@
 
 
 def send_refusal(reply: Reply, request: str, error: PondpinError) -> None:
-    """Send an error, or abort an answer that has begun."""
+    """Send an error, or abort a response that has begun."""
     if reply.started:
         reply.abort()
         return
--- a/pondpin/relay/attempts/crash_guard.py
+++ b/pondpin/relay/attempts/crash_guard.py
@@ -79,7 +79,7 @@
         return self.records.quarantine_reason(call, progress, is_begun) if self.has_ends else ""
 
     def avoided_lives(self) -> frozenset[int]:
-        """Lives that other requests avoid because a suspect was just sent there."""
+        """Lives to avoid because a suspect was just sent there."""
         if not self.policy.has(Mechanism.QUARANTINE):
             return frozenset()
         return self.quarantine.shunned(self.clock())
--- a/pondpin/relay/attempts/handler.py
+++ b/pondpin/relay/attempts/handler.py
@@ -1,4 +1,4 @@
-"""Serves relayed requests: admission, attempts, retries within the budget, the final answer."""
+"""Serves relayed requests: admission, attempts, retries and the final response."""
 
 import asyncio
 import random
@@ -18,7 +18,7 @@
     correct_ran,
     final_error,
     helper_at_fault,
-    is_retryable_answer,
+    is_retryable_response,
     send_refusal,
 )
 from pondpin.relay.attempts.crash_guard import CrashGuard
@@ -88,7 +88,7 @@
     async def handle(self, incoming: Incoming, reply: Reply) -> None:
         """Serve one request."""
         arrived = self.clock()
-        facts = self.dialect.read_request(incoming.raw_headers)
+        metadata = self.dialect.read_request(incoming.raw_headers)
         route: Route | None = None
         self.open_requests += 1
         try:
@@ -96,14 +96,14 @@
                 raise PondpinError(Code.DRAINING, retry_after=STOPPING_RETRY_SECONDS)
             state = self.admission_state()
             check_not_behind(state)
-            admitted = admit(state, facts, incoming.path, arrived)
+            admitted = admit(state, metadata, incoming.path, arrived)
             route = admitted.route
-            call = self._make_call(incoming, reply, facts, admitted, arrived)
+            call = self._make_call(incoming, reply, metadata, admitted, arrived)
             self._window(call.service).record_request(arrived)
             await self._serve_unless_gone(call)
         except PondpinError as error:
-            self.request_log.refused(facts, route, error, arrived, self.admission_state())
-            send_refusal(reply, facts.attempt_id, error)
+            self.request_log.refused(metadata, route, error, arrived, self.admission_state())
+            send_refusal(reply, metadata.attempt_id, error)
         finally:
             self.open_requests -= 1
 
@@ -111,14 +111,14 @@
         self,
         incoming: Incoming,
         reply: Reply,
-        facts: RequestFacts,
+        metadata: RequestFacts,
         admitted: Admitted,
         arrived: float,
     ) -> RelayCall:
         return RelayCall(
             incoming=incoming,
             reply=reply,
-            facts=facts,
+            facts=metadata,
             route=admitted.route,
             service=pick_service(admitted.route.shares, self.rng.random()),
             account=admitted.account,
@@ -127,7 +127,7 @@
             arrived=arrived,
             deadline=arrived + admitted.timeout,
             identity=identify(
-                self.identity_key, admitted.account, facts.host, incoming.target, incoming.body
+                self.identity_key, admitted.account, metadata.host, incoming.target, incoming.body
             ),
         )
 
@@ -250,7 +250,7 @@
             progress.tried |= {progress.life}
         # A request that must not be repeated goes on without its caller, but is not retried.
         conditions = (
-            (end.kind is EndKind.ANSWERED and not is_retryable_answer(call, end), "answered"),
+            (end.kind is EndKind.ANSWERED and not is_retryable_response(call, end), "answered"),
             (call.reply.gone, "its caller left"),
             (progress.may_have_run and not call.route.idempotent, "it may not run twice"),
             (used_up, "its attempts are used up"),
@@ -270,16 +270,16 @@
         return ""
 
     def on_head(self, plan: Plan, head: AnswerHead, sent_at: float) -> None:
-        """Handle the head of an answer to a request that was sent at a moment."""
+        """Handle the head of a response to a request that was sent at a moment."""
         self._health.observe_head(plan, head, sent_at)
 
     def _send_whole(self, call: RelayCall, progress: Progress, end: AttemptEnd) -> None:
-        answer = end.answer
-        assert answer is not None, "only answered attempts are sent whole"
+        response = end.answer
+        assert response is not None, "only answered attempts are sent whole"
         progress.first_at = self.clock()
-        call.reply.send_exact(answer.status, answer.headers, answer.body)
-        code = Code.OK if answer.status < FIRST_SERVER_ERROR else Code.UPSTREAM_REFUSED
-        self.request_log.ended(call, progress, answer.status, code)
+        call.reply.send_exact(response.status, response.headers, response.body)
+        code = Code.OK if response.status < FIRST_SERVER_ERROR else Code.UPSTREAM_REFUSED
+        self.request_log.ended(call, progress, response.status, code)
 
     def _finish_stream(self, call: RelayCall, progress: Progress) -> None:
         call.reply.finish()
--- a/pondpin/relay/attempts/passive_health.py
+++ b/pondpin/relay/attempts/passive_health.py
@@ -1,4 +1,4 @@
-"""Updates the health of upstreams from the heads of answers and the ends of attempts."""
+"""Updates the health of upstreams by response heads and ends of attempts."""
 
 from pondpin.clocks import Clock
 from pondpin.metrics import Metrics
@@ -77,20 +77,20 @@
             self._log.write(UpstreamEjected(upstream=state.id, reason=reason, seconds=left))
 
     def observe_head(self, plan: Plan, head: AnswerHead, sent_at: float) -> None:
-        """Apply the head of an answer to its upstream."""
+        """Apply the head of a response to its upstream."""
         now = self._clock()
         plan.lead.last_seen_at = now
         if head.load is not None:
             plan.lead.reported_load, plan.lead.reported_load_at = head.load, now
         self._handle_notices(plan.lead, head, sent_at)
-        # Another upstream has the address, unless the answer names the upstream that was asked.
+        # Another upstream has the address, unless the response names the one that was asked.
         if head.status == MISDIRECTED and head.instance != plan.lead.id:
             self._notices.record_leaving(plan.lead.life, "misdirected", now)
 
     def _handle_notices(self, lead: UpstreamState, head: AnswerHead, sent_at: float) -> None:
-        """Apply the notices of an answer.
+        """Apply the notices of a response.
 
-        An answer to another request came late on a connection to the same process, and counts. A
+        A response to another request came late on a connection to the same process, and counts. A
         success without the upstream's signature may come from anywhere, and proves nothing.
         """
         if head.status < FIRST_FAILURE and not head.signed:
--- a/pondpin/relay/attempts/permit_acquirer.py
+++ b/pondpin/relay/attempts/permit_acquirer.py
@@ -13,7 +13,7 @@
 from pondpin.relay.upstreams.state import UpstreamState
 
 # A request waits for a permit that is issued within this share of the time left to its target: the
-# permit is reserved for it, so the wait is certain, and the other half is left for the answer.
+# permit is reserved for it, so the wait is certain, and the other half is left for the response.
 PERMIT_WAIT_SHARE = 0.5
 # A limit that was last reported this long ago may have been raised: a request is sent to learn it.
 # So a service with a lifted limit gets its full load again within this time.
@@ -32,7 +32,7 @@
     async def acquire(self, call: RelayCall, progress: Progress, avoid: frozenset[int]) -> bool:
         """Acquire a permit for a request that has no other upstream.
 
-        Waits for one only while the answer can still be in time; there is no queue for permits.
+        Waits for one only while the response can still be in time; there is no queue for permits.
         """
         tried = progress.tried | avoid
         if not self.permits.issuer.limited_upstreams(call.service, tried):
--- a/pondpin/relay/attempts/placer.py
+++ b/pondpin/relay/attempts/placer.py
@@ -28,9 +28,9 @@
 # A request waits for a rest that ends within this share of the time left to its target.
 REST_WAIT_SHARE = 0.25
 WAKE_MARGIN_SECONDS = 0.001
-# Interval of planning while upstreams return from their rests: half a usual answer.
+# Interval of planning while upstreams return from rests: half a usual response time.
 RETURN_POLL_SECONDS = 0.05
-# Retries of callers that have to wait are spread over at most this time.
+# Retries of refused callers are spread over at most this time.
 MAX_SPREAD_SECONDS = 1.0
 
 
@@ -48,7 +48,7 @@
     rng: random.Random
 
     async def place(self, call: RelayCall, progress: Progress) -> tuple[Plan, "LeaseGroup | None"]:
-        """Plan an attempt that passes the send checks; a long prompt may wait in the queue."""
+        """Plan an attempt that passes the send checks; long prompts may queue."""
         while True:
             await self.send_checks.crash_guard.admit(call, progress)
             plan, group = await self._plan(call, progress)
@@ -60,7 +60,7 @@
             self.send_checks.check_key(call)
             if self.clock() >= call.deadline:
                 raise self.unavailable_error(call, progress)
-            # Plan and checks use the same state; should they ever differ, yield to other requests.
+            # Plan and checks use the same state; if they ever differ, let other tasks run.
             await asyncio.sleep(0)
 
     async def _plan(self, call: RelayCall, progress: Progress) -> tuple[Plan, "LeaseGroup | None"]:
--- a/pondpin/relay/attempts/request_log.py
+++ b/pondpin/relay/attempts/request_log.py
@@ -31,7 +31,7 @@
     clock: Clock
 
     def ended(self, call: RelayCall, progress: Progress, status: int, code: Code) -> None:
-        """Record a complete answer."""
+        """Record a complete response."""
         now = self.clock()
         first = progress.first_at if progress.first_at is not None else now
         self.log.write(
@@ -60,7 +60,7 @@
 
     def refused(
         self,
-        facts: RequestFacts,
+        metadata: RequestFacts,
         route: Route | None,
         error: PondpinError,
         arrived: float,
@@ -71,9 +71,9 @@
         age = admission.proof_age(now)
         self.log.write(
             Refused(
-                request=facts.attempt_id,
+                request=metadata.attempt_id,
                 route=route.name if route is not None else "",
-                prompt_tokens=facts.prompt_tokens,
+                prompt_tokens=metadata.prompt_tokens,
                 target_ms=round(route.target * MILLISECONDS) if route is not None else 0,
                 code=error.code.name,
                 detail=error.detail,
@@ -146,7 +146,7 @@
     def attempt_ended(
         self, call: RelayCall, progress: Progress, end: AttemptEnd, reason: str
     ) -> None:
-        """Record an attempt without the final answer; reason: why no other follows."""
+        """Record an attempt that failed; reason: why no other follows."""
         if end.kind is EndKind.ANSWERED and reason:
             return
         self.log.write(
--- a/pondpin/relay/attempts/run_tracker.py
+++ b/pondpin/relay/attempts/run_tracker.py
@@ -94,12 +94,12 @@
         return run
 
     def complete(self, run: Run) -> None:
-        """Remove a request that got its whole answer, or was not run."""
+        """Remove a request that got its whole response, or was not run."""
         for state in run.upstreams:
             self._remove(state.life, run)
 
     def abandon(self, run: Run) -> None:
-        """End a request without an answer; its upstreams are checked soon if they are silent."""
+        """End a request without a response; its upstreams are checked soon if they are silent."""
         run.ended_at = self.clock()
         loop = asyncio.get_running_loop()
         for state in run.upstreams:
