--- a/pondpin/relay/published/__init__.py
+++ b/pondpin/relay/published/__init__.py
@@ -1,1 +1,1 @@
-"""What is published, read from its source or from a peer: configuration and list of upstreams."""
+"""The published configuration and upstream list, read from the source or from peers."""
--- a/pondpin/relay/published/document_fetch.py
+++ b/pondpin/relay/published/document_fetch.py
@@ -1,8 +1,8 @@
-"""Brings documents from peers that have newer ones: piece by piece, from one peer at a time.
+"""Fetches newer documents from peers, piece by piece and from one peer at a time.
 
-What came is kept when a peer is busy, falls silent or dies: another one that has the same document
-goes on from there. A peer that is busy is asked again after a moment, or another one that has it by
-then is.
+Received pieces are kept when a peer is busy, times out or fails, and the transfer is resumed from
+another peer that has the same document. A busy peer is asked again after a short delay, unless
+another peer has the document by then.
 """
 
 import asyncio
@@ -21,61 +21,59 @@
     decode_list,
 )
 from pondpin.relay.published.freshness import PublishedVersion
-from pondpin.relay.published.packing import (
-    unpack,
-)
+from pondpin.relay.published.packing import unpack
 from pondpin.relay.published.pieces import FetchPieceReply, FetchPieceRequest, PiecePort
 from pondpin.relay.published.publication import Publication
 
-# A piece that takes longer is asked of another peer; over a link of 10 Mbit/s that three
-# transfers share it takes 40 ms.
-PIECE_SECONDS = 1.0
-# Neighbours hear the same news from another data centre: one of them fetches it first, and the
-# others then have it from near.
-FAR_FETCH_SECONDS = 0.3
-# A busy peer is asked again after this to twice this: a transfer of a difference takes so long.
+# A slower piece is requested from another peer; over a 10 Mbit/s link shared by three transfers a
+# piece takes 40 ms.
+PIECE_TIMEOUT_SECONDS = 1.0
+# The random delay before a document is fetched from another data centre, at most. Neighbours
+# receive the same offer, so one of them fetches first and serves the others locally.
+REMOTE_DELAY_SECONDS = 0.3
+# A busy peer is asked again after 1 to 2 times this, about the time that a delta's transfer takes.
 BUSY_RETRY_SECONDS = 0.05
 MILLISECONDS = 1000.0
 
 
-# What a peer has: a configuration in force, or a list.
+# A peer's configuration in force, or its list.
 Offer = PublishedVersion | ListOffer
 
 
 @dataclass(frozen=True, slots=True)
-class Holder:
-    """A peer that has a newer document; not_before is when to ask it."""
+class PeerOffer:
+    """A peer that has a newer document; not_before is the earliest time to ask it."""
 
     host: str
     offer: Offer
-    is_far: bool
+    is_remote: bool
     not_before: float
 
 
 @dataclass
-class Partial:
-    """What came of a packed document."""
+class PartialDocument:
+    """The received part of a packed document."""
 
-    document: int
+    packed_id: int
     size: int
-    began_at: float
+    started_at: float
     data: bytearray = field(default_factory=bytearray)
 
 
 @dataclass
 class Transfer:
-    """The fetching of one kind of document."""
+    """The transfer of one kind of document."""
 
-    holders_by_host: dict[str, Holder] = field(default_factory=dict)
-    partial: Partial | None = None
+    peer_by_host: dict[str, PeerOffer] = field(default_factory=dict)
+    partial: PartialDocument | None = None
     task: asyncio.Task[None] | None = None
-    # The next one is asked for whole: a difference did not fit.
-    whole: bool = False
+    # The next document is requested whole, since a delta could not be applied.
+    needs_whole: bool = False
 
 
 @dataclass
 class DocumentFetcher:
-    """The task that fetches; offer tells it who has something newer."""
+    """Fetches documents that peers offer, in one task per kind."""
 
     host: str
     document_port: int
@@ -90,51 +88,49 @@
         """Set up the transfers."""
         self._transfer_by_kind = {kind: Transfer() for kind in DocumentKind}
 
-    def receive_offer(self, host: str, offer: Offer, is_far: bool, now: float) -> None:
-        """A peer has something newer; is_far: it is worth waiting for a nearer one."""
+    def receive_offer(self, host: str, offer: Offer, is_remote: bool, now: float) -> None:
+        """Fetch a newer document from a peer; is_remote: a local peer may have it soon."""
         is_list = isinstance(offer, ListOffer)
         kind = DocumentKind.UPSTREAMS if is_list else DocumentKind.CONFIGURATION
         transfer = self._transfer_by_kind[kind]
-        known = transfer.holders_by_host.get(host)
+        known = transfer.peer_by_host.get(host)
         if known is not None:
-            transfer.holders_by_host[host] = replace(known, offer=offer)
+            transfer.peer_by_host[host] = replace(known, offer=offer)
         else:
-            wait = self.rng.random() * FAR_FETCH_SECONDS if is_far else 0.0
-            transfer.holders_by_host[host] = Holder(host, offer, is_far, now + wait)
+            wait = self.rng.random() * REMOTE_DELAY_SECONDS if is_remote else 0.0
+            transfer.peer_by_host[host] = PeerOffer(host, offer, is_remote, now + wait)
         if transfer.task is None:
-            work = self._run(kind, transfer)
-            transfer.task = asyncio.get_running_loop().create_task(work)
+            run = self._run(kind, transfer)
+            transfer.task = asyncio.get_running_loop().create_task(run)
 
     def close(self) -> None:
-        """End all transfers."""
+        """Cancel all transfers."""
         for transfer in self._transfer_by_kind.values():
             if transfer.task is not None:
                 transfer.task.cancel()
 
     async def _run(self, kind: DocumentKind, transfer: Transfer) -> None:
-        """Fetch until nobody has anything newer."""
+        """Fetch until no peer has a newer document."""
         try:
             while True:
                 now = self.clock()
-                self._forget_old(transfer)
-                holder = choose_holder(list(transfer.holders_by_host.values()), now, self.rng)
-                if holder is None:
+                self._drop_outdated(transfer)
+                peer = choose_peer(list(transfer.peer_by_host.values()), now, self.rng)
+                if peer is None:
                     return
-                if holder.not_before > now:
-                    await asyncio.sleep(holder.not_before - now)
+                if peer.not_before > now:
+                    await asyncio.sleep(peer.not_before - now)
                     continue
-                await self._fetch_piece(kind, transfer, holder)
+                await self._fetch_piece(kind, transfer, peer)
         finally:
             transfer.task = None
 
-    def _forget_old(self, transfer: Transfer) -> None:
-        """Drop peers that have nothing newer by now."""
-        transfer.holders_by_host = {
-            holder.host: holder
-            for holder in transfer.holders_by_host.values()
-            if self._is_newer(holder.offer)
+    def _drop_outdated(self, transfer: Transfer) -> None:
+        """Drop peers whose documents are no longer newer."""
+        transfer.peer_by_host = {
+            peer.host: peer for peer in transfer.peer_by_host.values() if self._is_newer(peer.offer)
         }
-        if not transfer.holders_by_host:
+        if not transfer.peer_by_host:
             transfer.partial = None
 
     def _is_newer(self, offer: Offer) -> bool:
@@ -147,86 +143,88 @@
             return False
         return (offer.epoch, offer.read_at) > (publication.list_epoch, publication.list_at)
 
-    async def _fetch_piece(self, kind: DocumentKind, transfer: Transfer, holder: Holder) -> None:
-        """Ask a peer for the next piece, and take the document once it is whole."""
+    async def _fetch_piece(self, kind: DocumentKind, transfer: Transfer, peer: PeerOffer) -> None:
+        """Fetch the next piece from a peer; apply the document once it is complete."""
         sent_at = self.clock()
-        request = self._request(kind, transfer)
-        address = f"{holder.host}:{self.document_port}"
+        request = self._build_request(kind, transfer)
+        address = f"{peer.host}:{self.document_port}"
         try:
-            reply = await self.peers.fetch_piece(address, request, PIECE_SECONDS)
+            reply = await self.peers.fetch_piece(address, request, PIECE_TIMEOUT_SECONDS)
         except PeerUnreachableError as error:
-            self._give_up(transfer, holder, str(error), sent_at)
+            self._record_failure(transfer, peer, str(error), sent_at)
             return
         if reply.busy:
             wait = BUSY_RETRY_SECONDS * (1.0 + self.rng.random())
-            later = replace(holder, not_before=self.clock() + wait)
-            transfer.holders_by_host[holder.host] = later
+            delayed = replace(peer, not_before=self.clock() + wait)
+            transfer.peer_by_host[peer.host] = delayed
             return
         if not reply.packed_id:
-            # The peer has restarted, or what it has is not newer.
-            transfer.holders_by_host.pop(holder.host, None)
+            # The peer has restarted, or its document isn't newer.
+            transfer.peer_by_host.pop(peer.host, None)
             return
-        partial = self._add(transfer, reply, sent_at)
+        partial = self._append_piece(transfer, reply, sent_at)
         if len(partial.data) < partial.size:
             return
         transfer.partial = None
-        transfer.holders_by_host.pop(holder.host, None)
-        self._take(kind, transfer, holder, reply, partial, sent_at)
+        transfer.peer_by_host.pop(peer.host, None)
+        self._apply(kind, transfer, peer, reply, partial, sent_at)
 
-    def _request(self, kind: DocumentKind, transfer: Transfer) -> FetchPieceRequest:
+    def _build_request(self, kind: DocumentKind, transfer: Transfer) -> FetchPieceRequest:
         partial, publication = transfer.partial, self.publication
-        begun = partial.document if partial is not None else 0
+        packed_id = partial.packed_id if partial is not None else 0
         offset = len(partial.data) if partial is not None else 0
         if kind is DocumentKind.UPSTREAMS:
-            have = 0 if transfer.whole else publication.list_tag
-            return FetchPieceRequest(kind, have, begun, offset, self.host)
+            known = 0 if transfer.needs_whole else publication.list_tag
+            return FetchPieceRequest(kind, known, packed_id, offset, self.host)
         in_force = publication.in_force
         return FetchPieceRequest(
             kind=kind,
-            known=0 if transfer.whole else in_force.revision,
-            packed_id=begun,
+            known=0 if transfer.needs_whole else in_force.revision,
+            packed_id=packed_id,
             offset=offset,
             host=self.host,
             version=in_force.version,
             epoch=in_force.epoch,
-            content=0 if transfer.whole else in_force.content,
+            content=0 if transfer.needs_whole else in_force.content,
         )
 
-    def _add(self, transfer: Transfer, reply: FetchPieceReply, sent_at: float) -> Partial:
+    def _append_piece(
+        self, transfer: Transfer, reply: FetchPieceReply, sent_at: float
+    ) -> PartialDocument:
         partial = transfer.partial
-        if partial is None or partial.document != reply.packed_id:
-            partial = Partial(reply.packed_id, reply.size, sent_at)
+        if partial is None or partial.packed_id != reply.packed_id:
+            partial = PartialDocument(reply.packed_id, reply.size, sent_at)
             transfer.partial = partial
         partial.data += reply.piece
         return partial
 
-    def _take(
+    def _apply(
         self,
         kind: DocumentKind,
         transfer: Transfer,
-        holder: Holder,
+        peer: PeerOffer,
         reply: FetchPieceReply,
-        partial: Partial,
+        partial: PartialDocument,
         sent_at: float,
     ) -> None:
-        """Take a document that is whole; its age counts from when its last piece was asked for."""
+        """Apply a complete document; its age counts from the request for its last piece."""
         now = self.clock()
         proved_at = sent_at - reply.age_ms / MILLISECONDS if reply.age_ms >= 0 else None
         try:
             if kind is DocumentKind.CONFIGURATION:
-                self._take_configuration(bytes(partial.data), holder.offer, proved_at, now)
+                self._apply_configuration(bytes(partial.data), peer.offer, proved_at, now)
             elif proved_at is not None:
                 document = unpack(bytes(partial.data), self.publication.recent_lists.get)
                 self.publication.apply_list(decode_list(document), proved_at, now, reply.epoch)
         except ValueError as error:
-            transfer.whole = True
-            self._give_up(transfer, holder, str(error), partial.began_at)
+            transfer.needs_whole = True
+            self._record_failure(transfer, peer, str(error), partial.started_at)
             return
-        transfer.whole = False
-        after_ms = int((now - partial.began_at) * MILLISECONDS)
+        transfer.needs_whole = False
+        after_ms = int((now - partial.started_at) * MILLISECONDS)
         self.log.write(
             Fetched(
-                peer=holder.host,
+                peer=peer.host,
                 document=kind.name.lower(),
                 revision=reply.version if kind is DocumentKind.CONFIGURATION else 0,
                 epoch=self.publication.epoch,
@@ -236,26 +234,28 @@
         )
         self.on_update()
 
-    def _take_configuration(
+    def _apply_configuration(
         self, data: bytes, offer: Offer, proved_at: float | None, now: float
     ) -> None:
         document = unpack(data, self.publication.recent_configurations.get)
         item = decode_configuration(document)
-        found = self.publication.apply_configuration(item, proved_at, now, from_peer=True)
-        if found is None and isinstance(offer, PublishedVersion):
+        version = self.publication.apply_configuration(item, proved_at, now, from_peer=True)
+        if version is None and isinstance(offer, PublishedVersion):
             self.publication.reject(offer)
 
-    def _give_up(self, transfer: Transfer, holder: Holder, reason: str, began_at: float) -> None:
-        """Ask this peer no more until it tells again that it has something newer."""
-        transfer.holders_by_host.pop(holder.host, None)
-        after_ms = int((self.clock() - began_at) * MILLISECONDS)
-        self.log.write(FetchFailed(peer=holder.host, reason=reason, after_ms=after_ms))
+    def _record_failure(
+        self, transfer: Transfer, peer: PeerOffer, reason: str, started_at: float
+    ) -> None:
+        """Log a failure and drop the peer until its next offer."""
+        transfer.peer_by_host.pop(peer.host, None)
+        after_ms = int((self.clock() - started_at) * MILLISECONDS)
+        self.log.write(FetchFailed(peer=peer.host, reason=reason, after_ms=after_ms))
 
 
-def choose_holder(holders: list[Holder], now: float, rng: random.Random) -> Holder | None:
-    """Whom to ask next: a near one that may be asked now, then a far one, then who is due first."""
-    due = [holder for holder in holders if holder.not_before <= now]
+def choose_peer(peers: list[PeerOffer], now: float, rng: random.Random) -> PeerOffer | None:
+    """Choose a due local peer, else a due remote one, else the peer that is due first."""
+    due = [peer for peer in peers if peer.not_before <= now]
     if not due:
-        return min(holders, key=lambda holder: holder.not_before, default=None)
-    near = [holder for holder in due if not holder.is_far]
-    return rng.choice(near or due)
+        return min(peers, key=lambda peer: peer.not_before, default=None)
+    local = [peer for peer in due if not peer.is_remote]
+    return rng.choice(local or due)
--- a/pondpin/relay/published/document_server.py
+++ b/pondpin/relay/published/document_server.py
@@ -1,4 +1,4 @@
-"""Serves the published documents to peers, piece by piece and to a few at a time."""
+"""Serves published documents to peers, piece by piece and to a few at a time."""
 
 from pondpin.clocks import Clock
 from pondpin.codes import Code
@@ -25,49 +25,52 @@
 )
 from pondpin.relay.published.publication import Publication
 
-# So many transfers share a link: each ends soon and its receiver serves others. With all at once
-# none of them would end for long, and callers' streams would wait behind all their pieces.
+# Concurrent transfers over a link. With few of them each ends soon and its receiver serves others;
+# with all at once none would end for long, and callers' streams would queue behind all the pieces.
 MAX_TRANSFERS = 3
-# A receiver that asks for no further piece for so long has given up or gone elsewhere.
+# A receiver that requests no further piece for this long has failed or uses another peer.
 TRANSFER_IDLE_SECONDS = 0.4
 MILLISECONDS = 1000.0
 UNKNOWN_AGE = -1
 
 
 class TransferSlots:
-    """Lets a few hosts transfer at a time; times in seconds."""
+    """Limits the hosts that transfer concurrently; times are in seconds."""
 
     def __init__(self) -> None:
-        self._asked_at_by_host: dict[str, float] = {}
+        self._requested_at_by_host: dict[str, float] = {}
 
     def admit(self, host: str, now: float) -> bool:
-        """Whether a host may have its next piece."""
-        self._asked_at_by_host = {
+        """Whether a host may receive its next piece; if so, it holds a slot."""
+        self._requested_at_by_host = {
             name: at
-            for name, at in self._asked_at_by_host.items()
+            for name, at in self._requested_at_by_host.items()
             if now - at < TRANSFER_IDLE_SECONDS
         }
-        if host not in self._asked_at_by_host and len(self._asked_at_by_host) >= MAX_TRANSFERS:
+        if (
+            host not in self._requested_at_by_host
+            and len(self._requested_at_by_host) >= MAX_TRANSFERS
+        ):
             return False
-        self._asked_at_by_host[host] = now
+        self._requested_at_by_host[host] = now
         return True
 
-    def end(self, host: str) -> None:
-        """A host has its last piece."""
-        self._asked_at_by_host.pop(host, None)
+    def release(self, host: str) -> None:
+        """Release the slot of a host that has received its last piece."""
+        self._requested_at_by_host.pop(host, None)
 
 
 class DocumentServer:
-    """Answers peers that ask for pieces of documents."""
+    """Answers requests of peers for pieces of documents."""
 
     def __init__(self, publication: Publication, clock: Clock) -> None:
         self._publication = publication
         self._clock = clock
-        self._shelf = PackedDocumentCache()
+        self._cache = PackedDocumentCache()
         self._slots = TransferSlots()
 
     async def handle(self, incoming: Incoming, reply: Reply) -> None:
-        """Send the next piece of a document; a body that is no request is refused."""
+        """Send the next piece of a document; an invalid request gets INVALID_FIELD."""
         try:
             request = decode_request(incoming.body)
         except ValueError as error:
@@ -76,7 +79,7 @@
         reply.send(HTTP_OK, {"content-type": CONTENT_TYPE}, encode_message(answer))
 
     def answer(self, request: FetchPieceRequest, now: float) -> FetchPieceReply:
-        """The next piece; nothing of it when others are being served or there is no document."""
+        """Return the next piece, or none if all slots are in use or there is no newer document."""
         document = self._find(request)
         if document is None:
             return FetchPieceReply(age_ms=UNKNOWN_AGE)
@@ -88,7 +91,7 @@
         if not is_small and not self._slots.admit(request.host, now):
             return FetchPieceReply(version=version, busy=True, age_ms=UNKNOWN_AGE)
         if offset + len(piece) >= len(document.data):
-            self._slots.end(request.host)
+            self._slots.release(request.host)
         return FetchPieceReply(
             version=version,
             packed_id=document.id,
@@ -99,14 +102,14 @@
         )
 
     def _find(self, request: FetchPieceRequest) -> PackedDocument | None:
-        """The document that a request asks for; None when the asker has it."""
+        """Return the requested document, None if the requester has it."""
         publication = self._publication
         if request.kind == DocumentKind.CONFIGURATION:
-            # A transfer that has begun ends, though a newer one is in force by now: in a series of
-            # changes a slow receiver would begin again and again.
-            begun = self._shelf.get(request.packed_id) if request.packed_id else None
-            if begun is not None:
-                return begun
+            # A transfer is completed even if a newer version is in force by now; otherwise a slow
+            # receiver would start over with each of a series of changes.
+            started = self._cache.get(request.packed_id) if request.packed_id else None
+            if started is not None:
+                return started
             return self._find_configuration(request)
         if request.kind == DocumentKind.UPSTREAMS and publication.list_tag != request.known:
             document = publication.recent_lists.get(publication.list_tag)
@@ -116,28 +119,28 @@
     def _find_configuration(self, request: FetchPieceRequest) -> PackedDocument | None:
         publication = self._publication
         in_force = publication.in_force
-        kept = publication.recent_configurations
-        document = kept.get(in_force.content)
+        recent = publication.recent_configurations
+        document = recent.get(in_force.content)
         if request.version is None:
             if document is None or self._is_known_to_earlier_release(request):
                 return None
             return self._pack(encode_for_earlier_release(document), None)
-        # Also for like content: the asker learns the epoch and revision of it.
-        theirs = PublishedVersion(request.version, request.epoch, request.known)
-        if not in_force.is_newer_than(theirs):
+        # Sent for equal content, too: the requester learns its epoch and revision.
+        requester_version = PublishedVersion(request.version, request.epoch, request.known)
+        if not in_force.is_newer_than(requester_version):
             return None
-        return self._pack(document, kept.get(request.content))
+        return self._pack(document, recent.get(request.content))
 
     def _is_known_to_earlier_release(self, request: FetchPieceRequest) -> bool:
-        """Whether revisions can be compared, and the asker's is no lower."""
+        """Whether revisions are comparable and the requester's is no lower."""
         in_force = self._publication.in_force
         return in_force.epoch == 0 and in_force.revision <= request.known
 
     def _pack(self, document: Document | None, base: Document | None) -> PackedDocument | None:
-        return self._shelf.get_or_pack(document, base) if document is not None else None
+        return self._cache.get_or_pack(document, base) if document is not None else None
 
     def _age_ms(self, kind: int, document: PackedDocument, now: float) -> int:
-        """How long ago the document was proved to be the newest, rounded up."""
+        """The milliseconds since the document was proved to be the newest, rounded up."""
         publication = self._publication
         if kind == DocumentKind.UPSTREAMS:
             proved_at = publication.list_at
--- a/pondpin/relay/published/freshness.py
+++ b/pondpin/relay/published/freshness.py
@@ -1,6 +1,6 @@
 """Published versions, and proofs that nothing newer was published.
 
-A proof counts from the moment its read was sent, so its age is never told too small.
+A proof's age counts from the sending of its read, so it is never underestimated.
 """
 
 from dataclasses import dataclass
@@ -8,11 +8,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishedVersion:
-    """A published configuration, as a read or a peer names it.
+    """Identifies a published configuration.
 
-    version is the operator's own number, which only rises. epoch and revision say where in the
-    source's history it was read: after a restore, revisions are given out again. content is the
-    hash of its value, 0 where it isn't known.
+    version is set by the operator and only increases. epoch and revision are its position in the
+    source's history; after a restore the source reuses revisions. content is the hash of its
+    value, 0 if unknown.
     """
 
     version: int
@@ -21,7 +21,7 @@
     content: int = 0
 
     def is_newer_than(self, other: "PublishedVersion") -> bool:
-        """Whether this replaces another one; the same content is the same wherever it was read."""
+        """Whether this is newer; the same content at another position is not."""
         if self.content and self.content == other.content:
             return False
         return self._order > other._order
@@ -36,38 +36,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Proof:
-    """A linearizable read sent at at (steady clock of this process) found newest published.
+    """A linearizable read, sent at sent_at by this process's steady clock, found newest.
 
-    What a restore lost was published before: newest may be older than the version in force, which
-    the read then proves to be the newest all the same.
+    After a restore newest may be older than the version in force; the read still proves that
+    nothing newer is published.
     """
 
     newest: PublishedVersion
     sent_at: float
 
     def age(self, now: float) -> float:
-        """Seconds since the read was sent."""
+        """Seconds since sent_at."""
         return now - self.sent_at
 
     def confirms(self, version: PublishedVersion) -> bool:
-        """Whether nothing newer than a version was published when the read was sent."""
+        """Whether nothing newer than a version was published at sent_at."""
         return not self.newest.is_newer_than(version)
 
 
 def later_proof(known: Proof | None, offered: Proof) -> Proof:
-    """The proof to keep of two that count."""
+    """The later of two valid proofs."""
     return offered if known is None or offered.sent_at > known.sent_at else known
 
 
 def is_fresh(proof: Proof | None, in_force: PublishedVersion, now: float, bound: float) -> bool:
-    """Whether the version in force here was proved less than bound seconds ago."""
+    """Whether the proof of the version in force is younger than bound seconds."""
     return proof is not None and proof.confirms(in_force) and proof.age(now) < bound
 
 
-def peer_proof(newest: PublishedVersion, asked_at: float, age_there: float) -> Proof:
-    """A peer's proof in this process's clock.
+def peer_proof(newest: PublishedVersion, echo_sent_at: float, peer_age: float) -> Proof:
+    """Convert a peer's proof to this process's clock.
 
-    The peer told age_there after it had heard what this process sent at asked_at, so the read
-    began no earlier than asked_at - age_there; a datagram that waited only looks older.
+    The peer computed peer_age after receiving what this process sent at echo_sent_at, so its read
+    began no earlier than echo_sent_at - peer_age. Delays of datagrams only make the proof older.
     """
-    return Proof(newest, asked_at - age_there)
+    return Proof(newest, echo_sent_at - peer_age)
--- a/pondpin/relay/published/pieces.py
+++ b/pondpin/relay/published/pieces.py
@@ -1,7 +1,7 @@
-"""The messages by which instances fetch documents from each other, and the calls that carry them.
+"""Messages and client for fetching documents from peers, piece by piece.
 
-They travel as MessagePack over HTTP/1.1, which an instance that relays speaks anyway: a second
-protocol with its libraries was a quarter of the time that a start took to load.
+Messages are MessagePack over HTTP/1.1, which an instance uses anyway for relaying: loading the
+libraries of a second protocol took a quarter of the start-up time.
 """
 
 from typing import Protocol
@@ -18,14 +18,14 @@
 
 
 class FetchPieceRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Asks for the next piece of a document.
+    """Requests the next piece of a document.
 
-    kind is a DocumentKind. have is what the asker has: the configuration's revision or the list's
-    tag, 0 for nothing. document is the packed document that it has begun, 0 for none, and
-    offset how many bytes of it it has. host is where the asker is.
+    kind is a DocumentKind. known is the requester's revision of the configuration or tag of the
+    list, 0 for none. packed_id is the packed document whose transfer it has begun, 0 for none, and
+    offset the number of bytes received of it. host is the requester's address.
 
-    version is that of the configuration in force, None from releases without epochs; epoch and
-    content go with it, content 0 asks for a whole document.
+    version, epoch and content are those of its configuration in force. version is None from
+    releases without epochs; content 0 requests a whole document.
     """
 
     kind: int
@@ -39,11 +39,11 @@
 
 
 class FetchPieceReply(msgspec.Struct, frozen=True, array_like=True):
-    """A piece; document is 0 when the asker has the newest.
+    """A piece of a packed document; packed_id is 0 if the requester has the newest document.
 
-    version is the document's revision or tag, size its bytes in all. age_ms is how long ago the
-    version was last proved to be the newest, -1 when that isn't known. busy: too many others are
-    being served, and nothing was sent. epoch: of the source when a list was read.
+    version is the document's revision or tag, size its total bytes. age_ms is the time since the
+    version was last proved to be the newest, -1 if unknown. busy means that too many others are
+    being served and no data was sent. epoch is the source's when the list was read.
     """
 
     version: int = 0
@@ -60,27 +60,27 @@
 
 
 def encode_message(message: FetchPieceRequest | FetchPieceReply) -> bytes:
-    """A message as the body of a call or of its answer."""
+    """Encode a message as the body of a request or a reply."""
     return msgspec.msgpack.encode(message)
 
 
 def decode_request(body: bytes) -> FetchPieceRequest:
-    """A request from a body; raises ValueError for anything else."""
+    """Decode a request; raises ValueError for an invalid body."""
     return _REQUEST.decode(body)
 
 
 class PiecePort(Protocol):
-    """Fetches pieces from a peer, by its address; raises PeerUnreachableError."""
+    """Fetches pieces from peers by address; raises PeerUnreachableError."""
 
     async def fetch_piece(
         self, address: str, request: FetchPieceRequest, timeout: float
     ) -> FetchPieceReply:
-        """Read a piece of a document that the peer passes on."""
+        """Fetch a piece of a document from a peer."""
         ...
 
 
 class HttpPieceClient:
-    """PiecePort over HTTP; a connection that fell silent is dropped with the call."""
+    """PiecePort over HTTP; a call that times out closes its connection."""
 
     def __init__(self, http: HttpClient, metrics: Metrics, path: str) -> None:
         self._http = http
@@ -101,8 +101,8 @@
         self._metrics.peer_bytes.add({"direction": "out"}, len(body))
         self._metrics.peer_bytes.add({"direction": "in"}, len(answer.body))
         if answer.status != HTTP_OK:
-            raise PeerUnreachableError(f"status {answer.status}")
+            raise PeerUnreachableError(f"HTTP status {answer.status}")
         try:
             return _REPLY.decode(answer.body)
         except ValueError as error:
-            raise PeerUnreachableError(f"no piece: {error}") from None
+            raise PeerUnreachableError(f"invalid reply: {error}") from None
--- a/pondpin/relay/published/publication.py
+++ b/pondpin/relay/published/publication.py
@@ -1,8 +1,8 @@
 """The published configuration and list of upstreams in force, with proofs of freshness.
 
-The source counts revisions in epochs: after it is restored from an older copy a new epoch begins
-and revisions are given out again. So what is newer is decided by the operator's version, and what
-is the same by epoch and revision together, or by the content.
+When the source is restored from an older copy, a new epoch begins and revisions are reused. So
+the operator's version decides what is newer; epoch and revision together, or the content, decide
+what is the same.
 """
 
 from collections import OrderedDict, deque
@@ -33,99 +33,96 @@
 if TYPE_CHECKING:
     from pondpin.relay.published.removed_entries import RemovedEntries
 
-# An entry may lapse while the source is away, and is written again within about two seconds of its
-# return: only what is missing for longer is gone.
+# An entry may expire during an outage of the source and is written again within about 2 s of its
+# return; entries that are missing for longer are removed.
 RELIST_GRACE_SECONDS = 2.4
-# A gap between reads that is longer than this counts as an absence of the source.
+# A longer gap between reads counts as an outage of the source.
 OUTAGE_SECONDS = 3.0
-# Starts of lives that are remembered, so that a late entry doesn't bring an earlier life back.
-KEPT_STARTS = 10_000
-# Versions that can't be decoded here, of a later release while it is rolled out.
-KEPT_REFUSED = 8
+# Bounds the start times kept to reject late entries of earlier lives.
+MAX_KNOWN_LIVES = 10_000
+# Bounds the versions that this release can't decode while a later one is rolled out.
+MAX_REJECTED = 8
 
 
 class Decoder(Protocol):
-    """Turns published values into the product's types; raises ValueError for a bad one."""
+    """Decodes published values; raises ValueError for invalid ones."""
 
     def configuration(self, value: bytes) -> RelayConfiguration:
         """Decode a configuration."""
-        ...
 
     def upstream(self, key: str, value: bytes) -> ListedUpstream:
         """Decode an entry of the list."""
-        ...
 
 
 @dataclass(frozen=True, slots=True)
 class ListChange:
-    """What a reading of the list changed: the upstreams to use, and ids that are none any more."""
+    """The upstreams to use after a change, and the ids removed."""
 
     listed: tuple[ListedUpstream, ...]
     removed_ids: tuple[str, ...]
 
 
-def tag_of(items: Sequence[PublishedItem]) -> int:
-    """A number that is alike for like lists of one epoch."""
+def compute_tag(items: Sequence[PublishedItem]) -> int:
+    """A hash that is equal for equal lists of one epoch."""
     text = ",".join(f"{item.key}@{item.revision}" for item in items)
     epoch = items[0].epoch if items else 0
     return xxhash.xxh64_intdigest((f"{epoch}:{text}" if epoch else text).encode())
 
 
 class Publication:
-    """Takes published values; a version in force is only ever replaced by a higher one."""
+    """Applies published values; only a higher version replaces the one in force."""
 
     def __init__(
         self,
         decoder: Decoder,
         on_configuration: Callable[[RelayConfiguration], None],
         on_list: Callable[[ListChange], None],
-        on_refused: Callable[[DocumentKind, str, str], None],
+        on_rejected: Callable[[DocumentKind, str, str], None],
         on_report: Callable[[Report], None] = lambda report: None,
         prefer_peers_until: float = 0.0,
     ) -> None:
-        """peers_first_until: until then a first configuration of the source waits for a peer."""
+        """Until prefer_peers_until a first configuration from the source waits for a peer."""
         self._decoder = decoder
         self._on_configuration = on_configuration
         self._on_list = on_list
-        self._on_refused = on_refused
+        self._on_rejected = on_rejected
         self._on_report = on_report
         self._prefer_peers_until = prefer_peers_until
-        # The highest epoch heard of; 0 while the source names none.
+        # The highest epoch seen; 0 while the source names none.
         self.epoch = 0
         self.configuration: RelayConfiguration | None = None
         self.in_force = NOTHING_PUBLISHED
         self.recent_configurations = RecentDocuments()
         self.recent_lists = RecentDocuments()
         self.proof: Proof | None = None
-        self._contents = ConfigurationCache(
+        self._cache = ConfigurationCache(
             decoder.configuration,
-            lambda key, reason: on_refused(DocumentKind.CONFIGURATION, key, reason),
+            lambda key, reason: on_rejected(DocumentKind.CONFIGURATION, key, reason),
         )
-        self._left_out: PublishedVersion | None = None
-        self._told = AnnouncedVersions()
-        self._refused: deque[PublishedVersion] = deque(maxlen=KEPT_REFUSED)
+        self._ignored: PublishedVersion | None = None
+        self._announced = AnnouncedVersions()
+        self._rejected: deque[PublishedVersion] = deque(maxlen=MAX_REJECTED)
         self.peers_seen = False
-        # A first configuration that waits for peers, and when its read was sent.
-        self._waiting: tuple[PublishedItem, float] | None = None
-        # When the first word of a newer one came, at the moment the one in force was taken.
+        # A first configuration that waits for peers, and the time its read was sent.
+        self._pending: tuple[PublishedItem, float] | None = None
+        # When a newer version was first announced before the one in force was applied.
         self.newer_seen_at: float | None = None
         self.list_tag = 0
         self.list_epoch = 0
         self.list_at: float | None = None
         self._listed_by_key: dict[str, ListedUpstream] = {}
-        # Epoch and revision of the last entry that was looked at.
-        self._place_by_key: dict[str, tuple[int, int]] = {}
+        # Epoch and revision of the last entry processed.
+        self._position_by_key: dict[str, tuple[int, int]] = {}
         self._missing: set[str] = set()
-        # Loaded with the first entry that is given up.
-        self._gone: RemovedEntries | None = None
-        # Ids whose entry can't be used any more.
-        self._withdrawn: list[str] = []
-        # The start of the latest life that was seen under a key.
+        # Loaded with the first removed entry.
+        self._removed: RemovedEntries | None = None
+        self._withdrawn_ids: list[str] = []
+        # The start of the latest life of each key.
         self._born_by_key: OrderedDict[str, int] = OrderedDict()
-        # Services that some configuration has named.
+        # Services named by any configuration so far.
         self._named_services: set[str] = set()
-        self._unnamed_place_by_key: dict[str, tuple[int, int]] = {}
-        self._relist_until = 0.0
+        self._unnamed_by_key: dict[str, tuple[int, int]] = {}
+        self._grace_until = 0.0
 
     @property
     def revision(self) -> int:
@@ -133,256 +130,250 @@
         return self.in_force.revision
 
     def receive_epoch(self, epoch: int, source: str) -> None:
-        """An answer of the source, or a peer, names an epoch."""
+        """Record an epoch named by the source or a peer."""
         if epoch > self.epoch:
             change = EpochChange(self.epoch, epoch, source)
             self.epoch = epoch
             self._on_report(change)
 
-    def receive_peer_version(self, told: PublishedVersion, now: float) -> bool:
-        """A peer has a version in force; True when that is news of a newer one."""
+    def receive_peer_version(self, version: PublishedVersion, now: float) -> bool:
+        """Record a peer's version; returns True for the first announcement of a newer one."""
         self.peers_seen = True
-        return self.accepts(told) and self._told.record(told, now)
+        return self.accepts(version) and self._announced.record(version, now)
 
     def accepts(self, version: PublishedVersion) -> bool:
-        """Whether a version is newer than the one in force, and not known to be unsound."""
-        return version.is_newer_than(self.in_force) and version not in self._refused
+        """Whether a version is newer than the one in force and not rejected."""
+        return version.is_newer_than(self.in_force) and version not in self._rejected
 
     def reject(self, version: PublishedVersion) -> None:
-        """The document of a version that a peer told can't be decoded here."""
-        self._refused.append(version)
-        self._told.remove(version)
+        """Reject an announced version whose document can't be decoded here."""
+        self._rejected.append(version)
+        self._announced.remove(version)
 
     def count_upstreams(self) -> int:
-        """How many upstreams the list in use holds."""
+        """The number of listed upstreams."""
         return len(self._listed_by_key)
 
     def behind_seconds(self, now: float) -> float:
-        """For how long a newer configuration is known of that a peer still has; 0 without one."""
-        return self._told.behind_seconds(now)
+        """Seconds since the first announcement of a newer version still announced, or 0."""
+        return self._announced.behind_seconds(now)
 
     def apply_configuration(
         self, item: PublishedItem, read_at: float | None, now: float, from_peer: bool = False
     ) -> PublishedVersion | None:
-        """Take a configuration if it is newer and sound; returns its version, None if unsound.
+        """Apply a configuration if it is newer; returns its version, None if invalid.
 
-        read_at: when the linearizable read that found it was sent, None where it proves nothing.
+        read_at is when its linearizable read was sent, None if that proves nothing.
         """
-        found = self._contents.version_of(item)
-        if found is None:
+        version = self._cache.version_of(item)
+        if version is None:
             return None
-        if not found.is_newer_than(self.in_force):
-            self._leave_out(item, found)
-        elif from_peer or not self._waits_for_peers(found, now):
-            self._replace(item, found)
+        if not version.is_newer_than(self.in_force):
+            self._ignore(item, version)
+        elif from_peer or not self._waits_for_peers(version, now):
+            self._replace(item, version)
         else:
-            self._waiting = (item, now if read_at is None else read_at)
-            return found
+            self._pending = (item, now if read_at is None else read_at)
+            return version
         if read_at is not None:
-            self.receive_proof(Proof(found, read_at))
-        return found
+            self.receive_proof(Proof(version, read_at))
+        return version
 
     def receive_proof(self, proof: Proof) -> None:
-        """This instance or a peer found out which version is the newest."""
+        """Keep a later proof if it confirms the version in force."""
         if proof.confirms(self.in_force):
             self.proof = later_proof(self.proof, proof)
 
-    def _waits_for_peers(self, found: PublishedVersion, now: float) -> bool:
-        """Whether a first configuration waits: the source may hold an older copy, and peers the
-        newer version.
-        """
+    def _waits_for_peers(self, version: PublishedVersion, now: float) -> bool:
+        """Whether a first configuration waits: a restored source may be behind the peers."""
         if self.configuration is not None:
             return False
         is_early = now < self._prefer_peers_until and not self.peers_seen
-        return is_early or self._told.has_newer_than(found, now)
-
-    def _leave_out(self, item: PublishedItem, found: PublishedVersion) -> None:
-        """Keep the version in force, which is no older; the source's copy is behind."""
-        if found.content == self.in_force.content:
-            self._move(item, found)
-        elif found != self._left_out:
-            self._left_out = found
-            self._on_report(found)
-
-    def _move(self, item: PublishedItem, found: PublishedVersion) -> None:
-        """The version in force was read in a later epoch, or under a later revision."""
-        place = found.epoch, found.revision
-        if place > (self.in_force.epoch, self.in_force.revision):
-            self.in_force = found
-            self._told.drop_older(found)
+        return is_early or self._announced.has_newer_than(version, now)
+
+    def _ignore(self, item: PublishedItem, version: PublishedVersion) -> None:
+        """Keep the version in force; the source's is no newer."""
+        if version.content == self.in_force.content:
+            self._update_position(item, version)
+        elif version != self._ignored:
+            self._ignored = version
+            self._on_report(version)
+
+    def _update_position(self, item: PublishedItem, version: PublishedVersion) -> None:
+        position = version.epoch, version.revision
+        if position > (self.in_force.epoch, self.in_force.revision):
+            self.in_force = version
+            self._announced.drop_older(version)
             self.recent_configurations.add(encode_configuration(item))
 
-    def _replace(self, item: PublishedItem, found: PublishedVersion) -> None:
-        configuration = self._contents.decode(item, found.content)
-        self.newer_seen_at = self._told.first_seen_at
-        self.in_force = found
-        self._told.drop_older(found)
+    def _replace(self, item: PublishedItem, version: PublishedVersion) -> None:
+        configuration = self._cache.decode(item, version.content)
+        self.newer_seen_at = self._announced.first_seen_at
+        self.in_force = version
+        self._announced.drop_older(version)
         self.recent_configurations.add(encode_configuration(item))
         self.configuration = configuration
         self._on_configuration(configuration)
-        self._note_services(configuration)
+        self._add_services(configuration)
 
-    def _note_services(self, configuration: RelayConfiguration) -> None:
-        """Upstreams of a service that is named for the first time can be used now."""
-        known = len(self._named_services)
+    def _add_services(self, configuration: RelayConfiguration) -> None:
+        """Add newly named services, whose listed upstreams become usable."""
+        before = len(self._named_services)
         self._named_services |= configuration.services_by_name.keys()
-        if len(self._named_services) > known and self.list_at is not None:
+        if len(self._named_services) > before and self.list_at is not None:
             self._on_list(ListChange(self._usable(), ()))
 
     def apply_list(
         self, items: Sequence[PublishedItem], at: float, now: float, epoch: int = 0
     ) -> None:
-        """Take the list as it was in an epoch, at a moment of this process's clock."""
-        if self.list_at is not None and self._is_earlier(epoch, at):
+        """Apply a list read in an epoch at a time of this process's clock."""
+        if self.list_at is not None and self._is_outdated(epoch, at):
             return
-        self._extend_window(epoch, at, now)
+        self._extend_grace(epoch, at, now)
         self.list_at = at
         self.list_epoch = epoch
-        tag = tag_of(items)
+        tag = compute_tag(items)
         if tag != self.list_tag:
-            self._take_items(items, epoch)
+            self._apply_items(items, epoch)
             self.recent_lists.add(encode_list(items, tag))
             self.list_tag = tag
-            self._report(now)
+            self._report_list(now)
         self.apply_pending(now)
 
-    def _is_earlier(self, epoch: int, at: float) -> bool:
-        """Whether a list is of an epoch that is over, or was read before the one in use."""
+    def _is_outdated(self, epoch: int, at: float) -> bool:
         return epoch < self.epoch or (epoch, at) < (self.list_epoch, self.list_at)
 
-    def _extend_window(self, epoch: int, at: float, now: float) -> None:
-        """After an absence of the source, or a restore, entries have time to come back."""
+    def _extend_grace(self, epoch: int, at: float, now: float) -> None:
+        """Allow time for entries to be listed again after an outage or a restore."""
         if self.list_at is None:
             return
         if at - self.list_at > OUTAGE_SECONDS or epoch > self.list_epoch:
-            self._relist_until = now + RELIST_GRACE_SECONDS
+            self._grace_until = now + RELIST_GRACE_SECONDS
 
     def confirm_list(self, at: float) -> None:
-        """A peer found the list unchanged at a later moment."""
+        """Record that a peer read the same list at a later time."""
         if self.list_at is not None and at > self.list_at:
             if at - self.list_at > OUTAGE_SECONDS:
-                self._relist_until = at + RELIST_GRACE_SECONDS
+                self._grace_until = at + RELIST_GRACE_SECONDS
             self.list_at = at
 
     def apply_pending(self, now: float) -> None:
-        """Give up entries that stayed missing, and take a configuration that waited for peers."""
-        if self._missing and now >= self._relist_until:
-            self._report(now)
-        if self._waiting is not None:
-            item, read_at = self._waiting
-            self._waiting = None
+        """Remove entries missing after the grace period; apply a configuration that waited."""
+        if self._missing and now >= self._grace_until:
+            self._report_list(now)
+        if self._pending is not None:
+            item, read_at = self._pending
+            self._pending = None
             self.apply_configuration(item, read_at, now)
 
-    def _take_items(self, items: Sequence[PublishedItem], epoch: int) -> None:
+    def _apply_items(self, items: Sequence[PublishedItem], epoch: int) -> None:
         older: list[str] = []
-        gone: list[str] = []
+        removed: list[str] = []
         for item in items:
-            place = item.epoch, item.revision
-            known = self._place_by_key.get(item.key)
-            if known == place:
+            position = item.epoch, item.revision
+            known = self._position_by_key.get(item.key)
+            if known == position:
                 continue
-            self._place_by_key[item.key] = place
+            self._position_by_key[item.key] = position
             try:
                 entry = self._decode_entry(item)
             except ValueError as error:
-                self._on_refused(DocumentKind.UPSTREAMS, item.key, str(error))
+                self._on_rejected(DocumentKind.UPSTREAMS, item.key, str(error))
                 continue
-            if self._gone is not None and self._gone.is_restored_copy(item.key, entry, epoch):
-                gone.append(item.key)
+            if self._removed is not None and self._removed.is_restored_copy(item.key, entry, epoch):
+                removed.append(item.key)
             elif known is not None and known[0] < epoch and self._is_older(item.key, entry):
                 older.append(item.key)
             else:
-                self._list_entry(item.key, entry)
-        if older or gone:
-            self._on_report(IgnoredEntries(epoch, len(older), len(gone)))
+                self._add_entry(item.key, entry)
+        if older or removed:
+            self._on_report(IgnoredEntries(epoch, len(older), len(removed)))
         self._drop_absent({item.key for item in items})
 
-    def _record_gone(self, key: str, entry: ListedUpstream) -> None:
-        if self._gone is None:
+    def _record_removed(self, key: str, entry: ListedUpstream) -> None:
+        if self._removed is None:
             from pondpin.relay.published.removed_entries import RemovedEntries
 
-            self._gone = RemovedEntries()
-        self._gone.record(key, entry, self.list_epoch)
+            self._removed = RemovedEntries()
+        self._removed.record(key, entry, self.list_epoch)
 
     def _drop_absent(self, present: set[str]) -> None:
         self._missing = self._listed_by_key.keys() - present
-        self._place_by_key = {
-            key: place
-            for key, place in self._place_by_key.items()
+        self._position_by_key = {
+            key: position
+            for key, position in self._position_by_key.items()
             if key in present or key in self._listed_by_key
         }
 
     def _is_older(self, key: str, entry: ListedUpstream) -> bool:
-        """Whether an entry was written before the one in use, by the same life."""
+        """Whether the same life wrote this entry before the one in use."""
         used = self._listed_by_key.get(key)
         return used is not None and used.born == entry.born and entry.sequence < used.sequence
 
     def _decode_entry(self, item: PublishedItem) -> ListedUpstream:
-        """Decode an entry that changed; raises ValueError for one that isn't used.
+        """Decode a changed entry; raises ValueError if it can't be used.
 
-        An earlier life's entry leaves the later one's in force; any other bad one is another
-        writer's, and until it is put right its key names no upstream.
+        An entry of an earlier life doesn't affect the later life's entry. Any other invalid entry
+        comes from another writer and withdraws its key's upstream until it is corrected.
         """
         born = self._born_by_key.get(item.key)
         try:
             entry = self._decoder.upstream(item.key, item.value)
             if entry.born is None and born is not None:
-                raise ValueError("it doesn't say when its life began, as it did before")
+                raise ValueError("no start time of its life, unlike before")
         except ValueError:
             self._withdraw(item.key)
             raise
         if starts_before(entry.born, born):
-            raise ValueError(f"an earlier life: {entry.born}, and {born} is known")
+            raise ValueError(f"an earlier life: started at {entry.born}, latest is {born}")
         return entry
 
-    def _list_entry(self, key: str, entry: ListedUpstream) -> None:
+    def _add_entry(self, key: str, entry: ListedUpstream) -> None:
         if entry.service not in self._named_services:
-            # It waits for a configuration that names its service.
+            # Not usable until a configuration names its service.
             self._withdraw(key)
-        if self._gone is not None:
-            self._gone.discard(key)
+        if self._removed is not None:
+            self._removed.discard(key)
         self._listed_by_key[key] = entry
         if entry.born is not None:
-            self._note_born(key, entry.born)
+            self._record_born(key, entry.born)
 
     def _withdraw(self, key: str) -> None:
-        """What was listed under a key is no upstream to use any more."""
         withdrawn = self._listed_by_key.pop(key, None)
         if withdrawn is not None:
-            self._withdrawn.append(withdrawn.id)
+            self._withdrawn_ids.append(withdrawn.id)
 
-    def _note_born(self, key: str, born: int) -> None:
+    def _record_born(self, key: str, born: int) -> None:
         self._born_by_key[key] = born
         self._born_by_key.move_to_end(key)
-        while len(self._born_by_key) > KEPT_STARTS:
+        while len(self._born_by_key) > MAX_KNOWN_LIVES:
             self._born_by_key.popitem(last=False)
 
     def _usable(self) -> tuple[ListedUpstream, ...]:
-        """The listed upstreams whose service has been named."""
-        found = []
+        usable = []
         for key, entry in self._listed_by_key.items():
             if entry.service in self._named_services:
-                found.append(entry)
+                usable.append(entry)
             elif self.configuration is not None:
-                self._note_unnamed(key, entry)
-        return tuple(found)
+                self._reject_unnamed(key, entry)
+        return tuple(usable)
 
-    def _note_unnamed(self, key: str, entry: ListedUpstream) -> None:
-        place = self._place_by_key.get(key, (0, 0))
-        if self._unnamed_place_by_key.get(key) == place:
+    def _reject_unnamed(self, key: str, entry: ListedUpstream) -> None:
+        position = self._position_by_key.get(key, (0, 0))
+        if self._unnamed_by_key.get(key) == position:
             return
-        self._unnamed_place_by_key[key] = place
+        self._unnamed_by_key[key] = position
         reason = f"no configuration names its service {entry.service!r}"
-        self._on_refused(DocumentKind.UPSTREAMS, key, reason)
+        self._on_rejected(DocumentKind.UPSTREAMS, key, reason)
 
-    def _report(self, now: float) -> None:
-        gone, self._withdrawn = self._withdrawn, []
-        if now >= self._relist_until:
+    def _report_list(self, now: float) -> None:
+        removed_ids, self._withdrawn_ids = self._withdrawn_ids, []
+        if now >= self._grace_until:
             for key in self._missing:
                 entry = self._listed_by_key.pop(key)
-                gone.append(entry.id)
-                self._record_gone(key, entry)
-                self._place_by_key.pop(key, None)
-                self._unnamed_place_by_key.pop(key, None)
+                removed_ids.append(entry.id)
+                self._record_removed(key, entry)
+                self._position_by_key.pop(key, None)
+                self._unnamed_by_key.pop(key, None)
             self._missing = set()
-        self._on_list(ListChange(self._usable(), tuple(gone)))
+        self._on_list(ListChange(self._usable(), tuple(removed_ids)))
--- a/pondpin/relay/published/reader.py
+++ b/pondpin/relay/published/reader.py
@@ -1,14 +1,13 @@
-"""Reads the published values: a few instances read, the others take their proofs over.
+"""Reads the published values; a few instances read, and the others adopt their proofs.
 
-A configuration may be a megabyte, and most reads find nothing new. So the list of upstreams is
-read each time, and what the source says of its revision there proves the configuration as well:
-either nothing at all has changed, or the changes up to that revision don't touch it. Only a
-configuration that is new is fetched whole. All of this holds within one epoch of the source: in a
-later one the configuration is read whole once.
+A configuration may be a megabyte, and most reads find nothing new. So each read fetches the list
+of upstreams with the source's revision, which also proves the configuration if that hasn't changed
+up to that revision. Only a new configuration is fetched whole, and once in each new epoch of the
+source.
 
-Nobody is elected. Each instance reads when the freshest proof it knows of is older than a
-bound that grows with its rank among the live peers, so that the first usually reads alone and
-the next takes over when proofs stop coming.
+There is no leader election. Each instance reads when the latest proof is older than a bound that
+grows with its rank among the live peers, so the first usually reads alone and the next takes over
+when proofs stop coming.
 """
 
 import asyncio
@@ -22,36 +21,31 @@
 from pondpin.relay.log import EventLog
 from pondpin.relay.log_events import SourceChanged, SourceRead
 from pondpin.relay.periods import PERIOD_SECONDS
-from pondpin.relay.ports import (
-    ConfigurationChange,
-    EpochChangedError,
-    ListRead,
-    PublishedSource,
-)
+from pondpin.relay.ports import ConfigurationChange, EpochChangedError, ListRead, PublishedSource
 from pondpin.relay.published.documents import PublishedItem
 from pondpin.relay.published.freshness import NOTHING_PUBLISHED, Proof, PublishedVersion
 from pondpin.relay.published.publication import Publication
 from pondpin.relay.published.source_monitor import SourceMonitor
 from pondpin.relay_settings import RelayLimits
 
-# When to read is looked at together with what else an instance does at intervals.
+# Runs with the other periodic tasks of an instance.
 CHECK_SECONDS = PERIOD_SECONDS
-# The ages below keep these bounds; with longer ones they are multiplied.
-SHORTEST_CONFIGURATION_MS = 2000.0
+# The ages below meet these bounds and are scaled up for longer ones.
+BASE_CONFIGURATION_MS = 2000.0
 BASE_KEY_MS = 3300.0
-# The first in rank reads when the proof is this old.
+# The proof's age at which rank 0 reads.
 RENEWAL_AGE_SECONDS = 0.6
-# Each further one waits longer by this, since proofs take time to arrive, up to the last.
+# The extra age per rank, up to MAX_RANK, since proofs take time to arrive.
 RANK_DELAY_SECONDS = 0.3
 MAX_RANK = 4
-# An instance that starts waits for this to twice this to hear its peers, lest all of a fleet that
-# starts read the source at once; seeds read at once.
+# A starting instance waits 1 to 2 times this for its peers' proofs, so that a starting fleet
+# doesn't overload the source; seeds read at once.
 START_DELAY_SECONDS = 0.25
-# A read is given up and its connection dropped when nothing comes for so long.
+# A read without progress for this long fails and closes its connection.
 READ_STALL_SECONDS = 1.0
-# A read that spans two epochs is begun again at once, so often.
+# Attempts at a read that spans two epochs.
 MAX_EPOCH_READS = 3
-# A read that took longer than this is logged although it brought nothing new.
+# Slower reads are logged even if nothing changed.
 SLOW_READ_SECONDS = 0.5
 MILLISECONDS = 1000.0
 FIRST_BACKOFF_SECONDS = 0.25
@@ -59,15 +53,15 @@
 
 
 def renewal_scale(limits: RelayLimits) -> float:
-    """How much later than the shortest bounds ask for proofs may be renewed."""
-    bounds = [limits.configuration_ms / SHORTEST_CONFIGURATION_MS]
+    """The factor by which the limits allow older proofs than the base bounds."""
+    bounds = [limits.configuration_ms / BASE_CONFIGURATION_MS]
     if limits.keys_need_proof:
         bounds.append(limits.key_ms / BASE_KEY_MS)
     return max(1.0, min(bounds))
 
 
 def due_age(rank: int, scale: float = 1.0) -> float:
-    """The age of the proof, in seconds, at which an instance of this rank reads."""
+    """The proof's age in seconds at which an instance of this rank reads."""
     return scale * (RENEWAL_AGE_SECONDS + RANK_DELAY_SECONDS * min(rank, MAX_RANK))
 
 
@@ -76,17 +70,17 @@
     return proof_age >= due_age(rank, scale)
 
 
-def backoff_seconds(failures: int, draw: float) -> float:
-    """How long to wait after some failures in a row; draw between 0 and 1 is the jitter."""
-    longest = min(MAX_BACKOFF_SECONDS, FIRST_BACKOFF_SECONDS * 2.0**failures)
-    return longest * (0.5 + draw / 2)
+def backoff_seconds(failures: int, jitter: float) -> float:
+    """The delay after consecutive failures; jitter is between 0 and 1."""
+    limit = min(MAX_BACKOFF_SECONDS, FIRST_BACKOFF_SECONDS * 2.0**failures)
+    return limit * (0.5 + jitter / 2)
 
 
 @dataclass(frozen=True, slots=True)
-class Unchanged:
-    """The source's configuration was newest, up to the source's revision until of an epoch.
+class KnownConfiguration:
+    """The source's newest configuration as of its revision until in an epoch.
 
-    newest is None for a configuration that isn't sound: that proves nothing.
+    newest is None for an invalid configuration, which proves nothing.
     """
 
     newest: PublishedVersion | None
@@ -95,7 +89,7 @@
 
 
 class ReaderController(Controller):
-    """Keeps the proofs young."""
+    """Renews the proofs."""
 
     period = CHECK_SECONDS
 
@@ -104,7 +98,7 @@
         source: PublishedSource,
         publication: Publication,
         rank: Callable[[float], int],
-        on_news: Callable[[], None],
+        on_update: Callable[[], None],
         log: EventLog,
         clock: Clock,
         rng: random.Random,
@@ -115,28 +109,28 @@
         super().__init__()
         self._monitor = monitor or SourceMonitor(log)
         self._scale = scale
-        self._may_wait = delay_start
+        self._delay_start = delay_start
         self._source = source
         self._publication = publication
         self._rank = rank
-        self._on_news = on_news
+        self._on_update = on_update
         self._log = log
         self._clock = clock
         self._rng = rng
         self._failures = 0
         self._not_before = 0.0
-        self._unchanged: Unchanged | None = None
+        self._known: KnownConfiguration | None = None
         self.read_count = 0
 
     @property
     def answers(self) -> bool:
-        """Whether the source answered the last read of this instance."""
+        """Whether this instance's last read succeeded."""
         return self._failures == 0
 
     async def step(self) -> None:
         """Read if it is due."""
-        if self._may_wait:
-            self._may_wait = False
+        if self._delay_start:
+            self._delay_start = False
             wait = START_DELAY_SECONDS * (1.0 + self._rng.random())
             self._not_before = self._clock() + wait
         if not await self._wait_until_due():
@@ -144,14 +138,14 @@
         try:
             await self._read()
         except CallFailedError as error:
-            self._note_failure(str(error))
+            self._record_failure(str(error))
             return
         if self._failures:
             self._log.write(SourceChanged(answers=True, reason="", failures=self._failures))
         self._failures = 0
 
     async def _wait_until_due(self) -> bool:
-        """Wait for a read that is due before the next step; whether to read now."""
+        """Wait if a read is due before the next step; returns whether to read now."""
         wait = self._seconds_until_due(self._clock())
         if 0 < wait < self.period:
             await asyncio.sleep(wait)
@@ -161,7 +155,7 @@
     def _seconds_until_due(self, now: float) -> float:
         age = self._oldest_age(now)
         scale = self._scale()
-        # Most are far from due whatever their rank, which takes a look at all peers.
+        # The rank is computed from all peers and usually not needed.
         if age < due_age(0, scale) - self.period:
             return due_age(0, scale) - age
         return max(due_age(self._rank(now), scale) - age, self._not_before - now)
@@ -176,26 +170,24 @@
         publication = self._publication
         before = publication.in_force, publication.list_tag
         self.read_count += 1
-        began = self._clock()
+        started_at = self._clock()
         listed, item = await self._read_one_epoch()
-        news = before != (publication.in_force, publication.list_tag)
-        self._note_read(listed, item, began, news)
-        if news:
-            self._on_news()
+        changed = before != (publication.in_force, publication.list_tag)
+        self._log_read(listed, item, started_at, changed)
+        if changed:
+            self._on_update()
 
     async def _read_one_epoch(self) -> tuple[ListRead, PublishedItem | None]:
-        """Read the list and what is needed to prove the configuration, again if the source's epoch
-        changes meanwhile.
-        """
+        """Read the list and prove the configuration; retry if the epoch changes."""
         for _ in range(MAX_EPOCH_READS):
             try:
                 return await self._read_parts()
             except EpochChangedError as error:
-                changed = error
-        raise changed
+                epoch_changed = error
+        raise epoch_changed
 
     async def _read_parts(self) -> tuple[ListRead, PublishedItem | None]:
-        # The list goes first: a configuration without upstreams would refuse everything.
+        # The list is read first; without upstreams a configuration would refuse all requests.
         sent_at = self._clock()
         listed = await self._source.read_upstreams(READ_STALL_SECONDS)
         self._check_epoch(listed.epoch, listed.epoch)
@@ -204,14 +196,15 @@
         return listed, await self._prove(listed, sent_at)
 
     def _check_epoch(self, first: int, answered: int) -> None:
-        """An answer of an epoch that is over proves nothing, nor do answers of two epochs."""
+        """Reject answers of a past epoch or of two epochs, which prove nothing."""
         newest = self._publication.epoch
         if answered != first or answered < newest:
             raise EpochChangedError(answered, max(first, newest))
 
     async def _prove(self, listed: ListRead, sent_at: float) -> PublishedItem | None:
-        """Learn which configuration the source has in the epoch of a list that was asked for at
-        sent_at; returns the configuration when it had to be fetched.
+        """Prove the configuration in the epoch of a list whose read was sent at sent_at.
+
+        Returns the configuration if it had to be fetched.
         """
         known = self._known_in(listed.epoch)
         if known is not None and known.until >= listed.at:
@@ -221,53 +214,48 @@
             change = await self._source.read_change(known.until, READ_STALL_SECONDS)
             self._check_epoch(listed.epoch, change.epoch)
             if change.until is not None and change.until >= listed.at:
-                return self._take_change(known, change, change.until, sent_at)
+                return self._apply_change(known, change, change.until, sent_at)
         sent_at = self._clock()
         read = await self._source.read_configuration(READ_STALL_SECONDS)
         self._check_epoch(listed.epoch, read.epoch)
-        # It was read after the list: what it doesn't show has not changed up to there.
+        # Read after the list, so it includes all changes up to the list's revision.
         until = listed.at if read.item is None else max(listed.at, read.item.revision)
-        newest = NOTHING_PUBLISHED if read.item is None else self._offer(read.item, sent_at)
-        self._record(Unchanged(newest, listed.epoch, until), sent_at)
+        newest = NOTHING_PUBLISHED if read.item is None else self._apply(read.item, sent_at)
+        self._record(KnownConfiguration(newest, listed.epoch, until), sent_at)
         return read.item
 
-    def _known_in(self, epoch: int) -> Unchanged | None:
-        """What is known of the configuration in an epoch, by an own read or a peer's."""
+    def _known_in(self, epoch: int) -> KnownConfiguration | None:
+        """The known configuration in an epoch, by an own read or a peer's."""
         in_force = self._publication.in_force
-        known = self._unchanged
+        known = self._known
         if known is not None and known.epoch != epoch:
             known = None
         if in_force.epoch == epoch and in_force.revision > (known.until if known else 0):
-            return Unchanged(in_force, epoch, in_force.revision)
+            return KnownConfiguration(in_force, epoch, in_force.revision)
         return known
 
-    def _take_change(
-        self, known: Unchanged, change: ConfigurationChange, until: int, sent_at: float
+    def _apply_change(
+        self, known: KnownConfiguration, change: ConfigurationChange, until: int, sent_at: float
     ) -> PublishedItem | None:
-        newest = known.newest if change.item is None else self._offer(change.item, sent_at)
-        self._record(Unchanged(newest, known.epoch, until), sent_at)
+        newest = known.newest if change.item is None else self._apply(change.item, sent_at)
+        self._record(KnownConfiguration(newest, known.epoch, until), sent_at)
         return change.item
 
-    def _offer(self, item: PublishedItem, sent_at: float) -> PublishedVersion | None:
+    def _apply(self, item: PublishedItem, sent_at: float) -> PublishedVersion | None:
         return self._publication.apply_configuration(item, sent_at, self._clock())
 
-    def _record(self, known: Unchanged, sent_at: float) -> None:
-        """Keep what is known; it proves what is in force from when its read was sent."""
-        self._unchanged = known
+    def _record(self, known: KnownConfiguration, sent_at: float) -> None:
+        self._known = known
         if known.newest is not None:
             self._publication.receive_proof(Proof(known.newest, sent_at))
 
-    def _note_read(
-        self,
-        listed: ListRead,
-        item: PublishedItem | None,
-        began: float,
-        news: bool,
+    def _log_read(
+        self, listed: ListRead, item: PublishedItem | None, started_at: float, changed: bool
     ) -> None:
-        seconds = self._clock() - began
-        if not news and seconds < SLOW_READ_SECONDS:
+        seconds = self._clock() - started_at
+        if not changed and seconds < SLOW_READ_SECONDS:
             return
-        size = sum(len(found.value) for found in listed.items)
+        size = sum(len(entry.value) for entry in listed.items)
         size += len(item.value) if item is not None else 0
         revision = item.revision if item is not None else 0
         after_ms = int(seconds * MILLISECONDS)
@@ -281,7 +269,7 @@
             )
         )
 
-    def _note_failure(self, reason: str) -> None:
+    def _record_failure(self, reason: str) -> None:
         if not self._failures:
             self._log.write(SourceChanged(answers=False, reason=reason, failures=1))
         self._failures += 1
--- a/pondpin/relay/published/reports.py
+++ b/pondpin/relay/published/reports.py
@@ -1,4 +1,4 @@
-"""What a publication reports beside the values that it puts in force."""
+"""Events that a publication reports besides the values it puts in force."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EpochChange:
-    """A later epoch of the source was heard of; source says from whom."""
+    """A later epoch of the source was seen; source says who named it."""
 
     before: int
     epoch: int
@@ -16,8 +16,9 @@
 
 @dataclass(frozen=True, slots=True)
 class IgnoredEntries:
-    """Entries of a restored list that are not used: older ones of upstreams that are listed, and
-    those of lives that were given up before.
+    """Counts of ignored entries of a restored list.
+
+    older: entries older than those in use; removed: entries of lives that were removed before.
     """
 
     epoch: int
@@ -25,5 +26,5 @@
     removed: int
 
 
-# A PublishedVersion is one of a lower version, which is left out.
+# A PublishedVersion is an ignored version, lower than the one in force.
 Report = EpochChange | PublishedVersion | IgnoredEntries
--- a/pondpin/relay/published/source_events.py
+++ b/pondpin/relay/published/source_events.py
@@ -1,4 +1,4 @@
-"""Lines of the structured log on the history of the source."""
+"""Events of the structured log about the source's epochs, revisions and headers."""
 
 from pondpin.metrics import Metrics
 from pondpin.relay.log import EventLog
@@ -8,8 +8,9 @@
 
 
 class SourceRewound(LogEvent, frozen=True, kw_only=True, tag="source_rewound"):
-    """The source names a lower revision than before; version and in_force: the configuration's
-    version and revision here.
+    """The source's revision decreased.
+
+    version and in_force are the version and revision of the configuration in force here.
     """
 
     before: int
@@ -20,9 +21,10 @@
 
 
 class EpochBegan(LogEvent, frozen=True, kw_only=True, tag="epoch"):
-    """The source's history has a later epoch: it was restored from a copy.
+    """The source has a later epoch: it was restored from a copy.
 
-    source: "its answer" or the peer that told of it. version, revision: the configuration's here.
+    source is "its answer" or the peer that named the epoch. version and revision are those of the
+    configuration in force here.
     """
 
     epoch: int
@@ -33,7 +35,7 @@
 
 
 class ConfigurationLeftOut(LogEvent, frozen=True, kw_only=True, tag="left_out"):
-    """A configuration of a lower version than the one in force is not used."""
+    """A configuration with a lower version than the one in force is ignored."""
 
     version: int
     epoch: int
@@ -42,7 +44,7 @@
 
 
 class ListEntriesLeftOut(LogEvent, frozen=True, kw_only=True, tag="entries_left_out"):
-    """A restored list holds older entries of listed upstreams, and entries of gone ones."""
+    """Counts of ignored entries of a restored list: older ones, and those of removed upstreams."""
 
     epoch: int
     older: int
@@ -50,14 +52,14 @@
 
 
 class UnknownHeader(LogEvent, frozen=True, kw_only=True, tag="unknown_header"):
-    """An answer of the source has a header about it that nothing reads; logged once a name."""
+    """A header of the source's answer that is not understood; logged once per name."""
 
     name: str
     value: str
 
 
 def log_report(report: Report, in_force: PublishedVersion, metrics: Metrics, log: EventLog) -> None:
-    """Write what a publication reports beside the values that it puts in force."""
+    """Write a publication's report to the log and the metrics."""
     if isinstance(report, EpochChange):
         metrics.source_epoch.set({}, report.epoch)
         log.write(
