--- a/pondpin/tests/test_log_story.py
+++ b/pondpin/tests/test_log_story.py
@@ -1,10 +1,10 @@
-"""The story of a request from logs."""
+"""The history of a request from logs."""
 
 import tempfile
 import unittest
 from pathlib import Path
 
-import pondpin.relay.published.source_events  # noqa: F401  Its events are subclasses, too.
+import pondpin.relay.published.source_events  # noqa: F401  Defines further event classes.
 from pondpin.relay.log import EventLog
 from pondpin.relay.log_events import (
     AttemptEnded,
@@ -56,24 +56,24 @@
             log.flush()
         return path
 
-    def test_own_lines_and_beliefs_around_them_in_order(self) -> None:
+    def test_events_of_a_request_and_related_state_changes_in_order(self) -> None:
         ejected = UpstreamEjected(upstream="i-1", reason="broken", seconds=1.0)
         refused = Refused(request="r1", code="OUTCOME_UNKNOWN", detail="broken", after_ms=81)
         other = Refused(request="r2", code="UNKNOWN_KEY", detail="", after_ms=0)
         first = self.write("a", PLACED, LOST, ejected, refused)
         second = self.write("b", other, SourceChanged(answers=False, reason="", failures=1))
-        told = tell_story(find_story(read_lines([first, second]), "r1", 2.0))
-        self.assertEqual(len(told), 4)
-        self.assertIn("attempt 1 goes to i-1", told[0])
-        self.assertIn("the stream broke off", told[1])
-        self.assertIn("left alone", told[2])
-        self.assertIn("OUTCOME_UNKNOWN", told[3])
+        sentences = tell_story(find_story(read_lines([first, second]), "r1", 2.0))
+        self.assertEqual(len(sentences), 4)
+        self.assertIn("attempt 1 goes to i-1", sentences[0])
+        self.assertIn("the stream broke off", sentences[1])
+        self.assertIn("left alone", sentences[2])
+        self.assertIn("OUTCOME_UNKNOWN", sentences[3])
 
-    def test_an_id_that_nobody_logged(self) -> None:
-        told = tell_story(find_story(read_lines([self.write("a", PLACED)]), "r9", 2.0))
-        self.assertIn("no line names r9", told[0])
+    def test_unknown_request_id(self) -> None:
+        sentences = tell_story(find_story(read_lines([self.write("a", PLACED)]), "r9", 2.0))
+        self.assertIn("no line names r9", sentences[0])
 
-    def test_lines_with_something_before_them_and_junk(self) -> None:
+    def test_prefixed_and_invalid_lines(self) -> None:
         self.assertIsNone(parse_line("no json"))
         self.assertIsNone(parse_line("{broken"))
         self.assertIsNone(parse_line('{"time": 3}'))
--- a/pondpin/tests/test_relay_publication.py
+++ b/pondpin/tests/test_relay_publication.py
@@ -1,4 +1,4 @@
-"""What is published: only rises, refused values, lapsed entries, reads, digests."""
+"""Publication of configurations and lists, reads of the source, and the event log's bounds."""
 
 import asyncio
 import random
@@ -50,7 +50,7 @@
 
 
 def published_version(version: int, revision: int, epoch: int = 0) -> PublishedVersion:
-    """How a sample configuration is named."""
+    """The version of a sample configuration."""
     content = hash_content(configuration_item(version, revision).value)
     return PublishedVersion(version, epoch, revision, content)
 
@@ -64,7 +64,7 @@
 
 
 class Recorder:
-    """Keeps what a publication tells."""
+    """Records a publication's callbacks."""
 
     def __init__(self) -> None:
         self.versions: list[int] = []
@@ -75,19 +75,23 @@
         self.entries: tuple[ListedUpstream, ...] = ()
         self.born_by_id: dict[str, int] = {}
         self.publication = Publication(
-            PlatformDecoder(), self.take, self.take_list, self.note_refused, self.reports.append
+            PlatformDecoder(),
+            self.record_configuration,
+            self.record_list,
+            self.record_rejected,
+            self.reports.append,
         )
 
-    def take(self, configuration: RelayConfiguration) -> None:
+    def record_configuration(self, configuration: RelayConfiguration) -> None:
         self.versions.append(configuration.version)
 
-    def take_list(self, change: ListChange) -> None:
+    def record_list(self, change: ListChange) -> None:
         self.removed += change.removed_ids
         self.entries = change.listed
         self.listed = [item.id for item in change.listed]
         self.born_by_id = {item.id: item.born for item in change.listed if item.born is not None}
 
-    def note_refused(self, kind: DocumentKind, key: str, reason: str) -> None:
+    def record_rejected(self, kind: DocumentKind, key: str, reason: str) -> None:
         self.rejected.append(reason)
 
 
@@ -96,7 +100,7 @@
         self.recorder = Recorder()
         self.publication = self.recorder.publication
 
-    def offer(
+    def apply(
         self, version: int, revision: int, read_at: float | None = None, epoch: int = 0
     ) -> None:
         self.publication.apply_configuration(
@@ -106,94 +110,94 @@
     def proof(self, version: int, revision: int, at: float) -> Proof:
         return Proof(published_version(version, revision), at)
 
-    def test_an_older_revision_never_comes_back(self) -> None:
-        self.offer(5, 50, NOW)
-        self.offer(4, 40)
+    def test_older_version_is_not_applied(self) -> None:
+        self.apply(5, 50, NOW)
+        self.apply(4, 40)
         self.assertEqual(self.recorder.versions, [5])
         self.assertEqual(self.publication.proof, self.proof(5, 50, NOW))
 
-    def test_the_same_version_of_an_older_revision_is_not_taken(self) -> None:
-        self.offer(5, 50, NOW)
-        self.offer(5, 50, NOW + 1)
-        self.offer(5, 49)
+    def test_same_version_of_an_older_revision_is_not_applied(self) -> None:
+        self.apply(5, 50, NOW)
+        self.apply(5, 50, NOW + 1)
+        self.apply(5, 49)
         self.assertEqual(self.recorder.versions, [5])
         self.assertEqual(self.publication.revision, 50)
 
-    def test_a_refused_value_leaves_the_last_good_one(self) -> None:
-        self.offer(5, 50, NOW)
-        broken = PublishedItem("op/config", 51, b'{"version": 6, "routes": [{"name": 3}]}')
+    def test_invalid_configuration_keeps_the_last_valid_one(self) -> None:
+        self.apply(5, 50, NOW)
+        invalid = PublishedItem("op/config", 51, b'{"version": 6, "routes": [{"name": 3}]}')
         for _ in range(2):
-            found = self.publication.apply_configuration(broken, NOW + 1, NOW)
-            self.assertIsNone(found)
+            applied = self.publication.apply_configuration(invalid, NOW + 1, NOW)
+            self.assertIsNone(applied)
         self.assertEqual(self.recorder.versions, [5])
         self.assertEqual(len(self.recorder.rejected), 1)
-        # The old version isn't proved by a read that found another one.
+        # A read that found another configuration doesn't prove the one in force.
         self.assertEqual(self.publication.proof, self.proof(5, 50, NOW))
 
-    def test_refused_value_does_not_hide_sound_one_of_lower_revision(self) -> None:
-        self.offer(5, 50, NOW)
-        broken = PublishedItem("op/config", 90, b"{}")
-        self.publication.apply_configuration(broken, NOW + 1, NOW)
-        self.offer(6, 60, NOW + 2)
+    def test_invalid_configuration_does_not_hide_valid_one_of_lower_revision(self) -> None:
+        self.apply(5, 50, NOW)
+        invalid = PublishedItem("op/config", 90, b"{}")
+        self.publication.apply_configuration(invalid, NOW + 1, NOW)
+        self.apply(6, 60, NOW + 2)
         self.assertEqual(self.recorder.versions, [5, 6])
 
-    def test_an_unsound_version_of_a_peer_is_not_waited_for(self) -> None:
-        self.offer(5, 50, NOW)
-        broken = PublishedItem("op/config", 90, b"{}")
-        self.publication.apply_configuration(broken, None, NOW, from_peer=True)
-        told = PublishedVersion(6, 0, 90)
-        self.assertTrue(self.publication.receive_peer_version(told, NOW))
-        self.publication.reject(told)
-        self.assertFalse(self.publication.accepts(told))
-        self.assertFalse(self.publication.receive_peer_version(told, NOW))
+    def test_rejected_peer_version_is_not_awaited(self) -> None:
+        self.apply(5, 50, NOW)
+        invalid = PublishedItem("op/config", 90, b"{}")
+        self.publication.apply_configuration(invalid, None, NOW, from_peer=True)
+        announced = PublishedVersion(6, 0, 90)
+        self.assertTrue(self.publication.receive_peer_version(announced, NOW))
+        self.publication.reject(announced)
+        self.assertFalse(self.publication.accepts(announced))
+        self.assertFalse(self.publication.receive_peer_version(announced, NOW))
         self.assertEqual(self.publication.behind_seconds(NOW + 1.0), 0.0)
 
-    def test_a_lower_version_under_a_higher_revision_is_left_out(self) -> None:
-        self.offer(5, 50)
-        self.offer(4, 60)
-        self.offer(4, 60)
+    def test_lower_version_under_a_higher_revision_is_ignored(self) -> None:
+        self.apply(5, 50)
+        self.apply(4, 60)
+        self.apply(4, 60)
         self.assertEqual(self.recorder.versions, [5])
         self.assertEqual(self.recorder.reports, [published_version(4, 60)])
 
-    def test_how_long_a_newer_configuration_is_known_of(self) -> None:
+    def test_behind_seconds_count_from_the_first_announcement(self) -> None:
         publication = self.publication
-        self.offer(5, 50)
+        self.apply(5, 50)
         self.assertFalse(publication.receive_peer_version(published_version(5, 50), NOW))
         self.assertTrue(publication.receive_peer_version(published_version(6, 60), NOW))
         self.assertFalse(publication.receive_peer_version(published_version(6, 60), NOW + 1.0))
         publication.receive_peer_version(published_version(7, 70), NOW + 2.0)
         self.assertEqual(publication.behind_seconds(NOW + 2.0), 2.0)
-        # Nobody tells of 60 any more: who had it may be gone.
-        late = NOW + 1.0 + ANNOUNCEMENT_TTL_SECONDS
-        self.assertEqual(publication.behind_seconds(late), late - NOW - 2.0)
-        self.offer(6, 60)
+        # Revision 60 is no longer announced, so it may not be available any more.
+        expired_at = NOW + 1.0 + ANNOUNCEMENT_TTL_SECONDS
+        self.assertEqual(publication.behind_seconds(expired_at), expired_at - NOW - 2.0)
+        self.apply(6, 60)
         self.assertEqual(publication.newer_seen_at, NOW)
         self.assertEqual(publication.behind_seconds(NOW + 3.0), 1.0)
-        self.offer(7, 70)
+        self.apply(7, 70)
         self.assertEqual(publication.behind_seconds(NOW + 3.0), 0.0)
 
-    def test_the_last_configurations_are_kept_for_differences(self) -> None:
+    def test_recent_configurations_are_kept_for_deltas(self) -> None:
         for number in range(1, MAX_RECENT_DOCUMENTS + 3):
-            self.offer(number, number * 10)
-        find = self.publication.recent_configurations.get
+            self.apply(number, number * 10)
+        get = self.publication.recent_configurations.get
         kept = [
-            number for number in range(9) if find(published_version(number, 1).content) is not None
+            number for number in range(9) if get(published_version(number, 1).content) is not None
         ]
         self.assertEqual(len(kept), MAX_RECENT_DOCUMENTS)
         self.assertEqual(kept[-1] * 10, self.publication.revision)
 
-    def test_a_proof_of_a_newer_version_proves_nothing_of_the_one_in_force(self) -> None:
-        self.offer(5, 50, NOW)
+    def test_proof_of_a_newer_version_does_not_confirm_the_one_in_force(self) -> None:
+        self.apply(5, 50, NOW)
         self.publication.receive_proof(self.proof(6, 51, NOW + 5))
         self.assertEqual(self.publication.proof, self.proof(5, 50, NOW))
         self.publication.receive_proof(self.proof(5, 50, NOW + 1))
         self.assertEqual(self.publication.proof, self.proof(5, 50, NOW + 1))
-        # A read that is told late makes the proof no older.
+        # A proof that arrives late doesn't replace a younger one.
         self.publication.receive_proof(self.proof(5, 50, NOW))
         self.assertEqual(self.publication.proof, self.proof(5, 50, NOW + 1))
 
-    def test_a_read_that_finds_an_older_version_proves_that_none_is_newer(self) -> None:
-        self.offer(5, 50, NOW)
+    def test_proof_of_an_older_version_confirms_the_one_in_force(self) -> None:
+        self.apply(5, 50, NOW)
         self.publication.receive_proof(self.proof(4, 40, NOW + 5))
         self.assertEqual(self.publication.proof, self.proof(4, 40, NOW + 5))
         self.assertEqual(self.recorder.versions, [5])
@@ -207,65 +211,67 @@
         self.both = [server_item("a", 1), server_item("b", 2)]
         self.publication.apply_list(self.both, NOW, NOW)
 
-    def test_a_missing_entry_is_gone_at_once_while_reads_go_on(self) -> None:
+    def test_missing_entry_is_removed_at_once_without_an_outage(self) -> None:
         self.publication.apply_list(self.both[:1], NOW + 0.7, NOW + 0.7)
         self.assertEqual(self.recorder.removed, ["b"])
 
-    def test_a_lapsed_entry_has_time_to_come_back(self) -> None:
-        back = NOW + OUTAGE_SECONDS + 1
-        self.publication.apply_list(self.both[:1], back, back)
-        self.publication.apply_pending(back + RELIST_GRACE_SECONDS - 0.1)
+    def test_missing_entry_has_a_grace_period_after_an_outage(self) -> None:
+        returned_at = NOW + OUTAGE_SECONDS + 1
+        self.publication.apply_list(self.both[:1], returned_at, returned_at)
+        self.publication.apply_pending(returned_at + RELIST_GRACE_SECONDS - 0.1)
         self.assertEqual(self.recorder.removed, [])
         self.assertEqual(self.recorder.listed, ["a", "b"])
-        self.publication.apply_list([self.both[0], server_item("b", 9)], back + 2, back + 2)
-        self.publication.apply_pending(back + 10)
+        self.publication.apply_list(
+            [self.both[0], server_item("b", 9)], returned_at + 2, returned_at + 2
+        )
+        self.publication.apply_pending(returned_at + 10)
         self.assertEqual(self.recorder.removed, [])
 
-    def test_a_lapsed_entry_that_stays_away_is_gone(self) -> None:
-        back = NOW + OUTAGE_SECONDS + 1
-        self.publication.apply_list(self.both[:1], back, back)
-        self.publication.apply_pending(back + RELIST_GRACE_SECONDS)
+    def test_entry_missing_after_the_grace_period_is_removed(self) -> None:
+        returned_at = NOW + OUTAGE_SECONDS + 1
+        self.publication.apply_list(self.both[:1], returned_at, returned_at)
+        self.publication.apply_pending(returned_at + RELIST_GRACE_SECONDS)
         self.assertEqual(self.recorder.removed, ["b"])
 
-    def test_an_older_reading_changes_nothing(self) -> None:
+    def test_older_list_is_not_applied(self) -> None:
         self.publication.apply_list(self.both[:1], NOW - 1, NOW + 1)
         self.assertEqual(self.recorder.removed, [])
 
 
 class FakeSource:
-    """A published source that fails when told."""
+    """A published source that can be made to fail."""
 
     def __init__(self, clock: FakeClock) -> None:
         self.clock = clock
         self.failing = False
-        self.slow = 0.0
-        self.reads = 0
-        self.whole_reads = 0
-        self.at = 11
+        self.delay = 0.0
+        self.list_reads = 0
+        self.configuration_reads = 0
+        self.revision = 11
         self.configuration: PublishedItem | None = configuration_item(1, 10)
         self.change = ConfigurationChange(None, None)
         self.epoch = 0
-        # The epochs of the next answers, before those of `epoch`.
+        # The epochs of the next answers; those after them have `epoch`.
         self.next_epochs: list[int] = []
 
-    def answered_epoch(self) -> int:
+    def next_epoch(self) -> int:
         return self.next_epochs.pop(0) if self.next_epochs else self.epoch
 
     async def read_configuration(self, stall: float) -> ConfigurationRead:
-        self.whole_reads += 1
-        self.clock.advance(self.slow)
-        return ConfigurationRead(self.configuration, self.answered_epoch())
+        self.configuration_reads += 1
+        self.clock.advance(self.delay)
+        return ConfigurationRead(self.configuration, self.next_epoch())
 
     async def read_change(self, since: int, stall: float) -> ConfigurationChange:
-        self.since = since
-        self.clock.advance(self.slow)
-        return replace(self.change, epoch=self.answered_epoch())
+        self.change_since = since
+        self.clock.advance(self.delay)
+        return replace(self.change, epoch=self.next_epoch())
 
     async def read_upstreams(self, stall: float) -> ListRead:
-        self.reads += 1
+        self.list_reads += 1
         if self.failing:
             raise CallFailedError("busy", sent=True)
-        return ListRead((server_item("a", 11),), self.at, self.answered_epoch())
+        return ListRead((server_item("a", 11),), self.revision, self.next_epoch())
 
 
 class ReaderTest(unittest.TestCase):
@@ -288,26 +294,25 @@
     def step(self) -> None:
         run_async(self.reader.step())
 
-    def test_the_first_in_rank_reads_and_the_others_wait(self) -> None:
+    def test_higher_ranks_read_later(self) -> None:
         self.assertTrue(is_due(RENEWAL_AGE_SECONDS, 0))
         self.assertFalse(is_due(RENEWAL_AGE_SECONDS, 1))
         self.assertTrue(is_due(float("inf"), 99))
-        # Even the last in rank reads before the two seconds of a configuration's bound.
+        # Even the last rank reads within a configuration's bound of 2 s.
         latest = RENEWAL_AGE_SECONDS + MAX_RANK * RANK_DELAY_SECONDS
         self.assertFalse(is_due(latest - 0.01, 99))
         self.assertTrue(is_due(latest, 99))
-        # Even the last in rank reads before the two seconds of a configuration's bound.
         self.assertLess(latest, 1.9)
 
-    def test_longer_bounds_make_reads_rarer(self) -> None:
+    def test_longer_bounds_delay_reads(self) -> None:
         self.assertFalse(is_due(1.5 * RENEWAL_AGE_SECONDS - 0.01, 0, 1.5))
         self.assertTrue(is_due(1.5 * RENEWAL_AGE_SECONDS, 0, 1.5))
         latest = 1.5 * (RENEWAL_AGE_SECONDS + MAX_RANK * RANK_DELAY_SECONDS)
         self.assertTrue(is_due(latest, 99, 1.5))
-        # A key's bound of five seconds leaves a proof two thirds of it to get everywhere.
+        # The rest of a key's bound of 5 s remains for the proof to reach all instances.
         self.assertLess(latest, 5.0 * 0.6)
 
-    def test_one_that_starts_hears_its_peers_before_it_reads(self) -> None:
+    def test_starting_instance_waits_for_its_peers_before_reading(self) -> None:
         self.reader = ReaderController(
             self.source,
             self.recorder.publication,
@@ -319,87 +324,87 @@
             delay_start=True,
         )
         self.step()
-        self.assertEqual(self.source.reads, 0)
+        self.assertEqual(self.source.list_reads, 0)
         self.clock.advance(2 * START_DELAY_SECONDS)
         self.step()
-        self.assertEqual(self.source.reads, 1)
+        self.assertEqual(self.source.list_reads, 1)
 
-    def test_a_proof_counts_from_the_sending(self) -> None:
-        self.source.slow = 0.9
-        sent = self.clock.now
+    def test_proof_counts_from_the_sending_of_the_read(self) -> None:
+        self.source.delay = 0.9
+        sent_at = self.clock.now
         self.step()
-        self.assertEqual(self.recorder.publication.proof, Proof(published_version(1, 10), sent))
+        self.assertEqual(self.recorder.publication.proof, Proof(published_version(1, 10), sent_at))
 
-    def read_again(self) -> Proof | None:
+    def renew_proof(self) -> Proof | None:
         self.clock.advance(RENEWAL_AGE_SECONDS)
         self.step()
         return self.recorder.publication.proof
 
-    def test_a_source_without_any_change_proves_the_configuration(self) -> None:
+    def test_unchanged_source_proves_the_configuration(self) -> None:
         self.step()
         self.source.change = ConfigurationChange(None, 11)
-        self.read_again()
-        sent = self.clock.now + RENEWAL_AGE_SECONDS
+        self.renew_proof()
+        sent_at = self.clock.now + RENEWAL_AGE_SECONDS
         self.source.change = ConfigurationChange(None, None)
-        self.assertEqual(self.read_again(), Proof(published_version(1, 10), sent))
-        self.assertEqual(self.source.whole_reads, 1)
+        self.assertEqual(self.renew_proof(), Proof(published_version(1, 10), sent_at))
+        self.assertEqual(self.source.configuration_reads, 1)
 
-    def test_changes_elsewhere_prove_the_configuration_as_of_the_list(self) -> None:
+    def test_unrelated_changes_prove_the_configuration_as_of_the_list(self) -> None:
         self.step()
-        self.source.at, self.source.change = 40, ConfigurationChange(None, 41)
-        self.source.slow = 0.3
-        sent = self.clock.now + RENEWAL_AGE_SECONDS
-        self.assertEqual(self.read_again(), Proof(published_version(1, 10), sent))
-        self.assertEqual((self.source.whole_reads, self.source.since), (1, 11))
-        self.read_again()
-        self.assertEqual(self.source.since, 11)
-        self.source.at = 50
+        self.source.revision, self.source.change = 40, ConfigurationChange(None, 41)
+        self.source.delay = 0.3
+        sent_at = self.clock.now + RENEWAL_AGE_SECONDS
+        self.assertEqual(self.renew_proof(), Proof(published_version(1, 10), sent_at))
+        self.assertEqual((self.source.configuration_reads, self.source.change_since), (1, 11))
+        self.renew_proof()
+        self.assertEqual(self.source.change_since, 11)
+        self.source.revision = 50
         self.source.change = ConfigurationChange(None, 50)
-        self.read_again()
-        self.assertEqual(self.source.since, 41)
+        self.renew_proof()
+        self.assertEqual(self.source.change_since, 41)
 
-    def test_a_change_brings_the_configuration_with_it(self) -> None:
+    def test_changed_configuration_is_applied_from_the_change(self) -> None:
         self.step()
-        self.source.at = 50
+        self.source.revision = 50
         self.source.change = ConfigurationChange(configuration_item(2, 45), 50)
-        sent = self.clock.now + RENEWAL_AGE_SECONDS
-        self.assertEqual(self.read_again(), Proof(published_version(2, 45), sent))
+        sent_at = self.clock.now + RENEWAL_AGE_SECONDS
+        self.assertEqual(self.renew_proof(), Proof(published_version(2, 45), sent_at))
         self.assertEqual(self.recorder.versions, [1, 2])
-        self.assertEqual(self.source.whole_reads, 1)
+        self.assertEqual(self.source.configuration_reads, 1)
 
-    def test_a_watch_that_lags_or_lost_history_proves_nothing(self) -> None:
+    def test_lagging_watch_or_lost_history_proves_nothing(self) -> None:
         for change in (ConfigurationChange(None, 49), ConfigurationChange(None, None)):
             with self.subTest(change=change):
                 self.setUp()
                 self.step()
-                self.source.at, self.source.change = 50, change
+                self.source.revision, self.source.change = 50, change
                 self.source.configuration = configuration_item(2, 45)
-                sent = self.clock.now + RENEWAL_AGE_SECONDS
-                self.assertEqual(self.read_again(), Proof(published_version(2, 45), sent))
-                self.assertEqual(self.source.whole_reads, 2)
+                sent_at = self.clock.now + RENEWAL_AGE_SECONDS
+                self.assertEqual(self.renew_proof(), Proof(published_version(2, 45), sent_at))
+                self.assertEqual(self.source.configuration_reads, 2)
 
-    def test_a_quiet_configuration_is_not_read_whole_again(self) -> None:
-        self.source.at = 500
+    def test_unchanged_configuration_is_not_fetched_again(self) -> None:
+        self.source.revision = 500
         self.step()
         self.source.change = ConfigurationChange(None, None)
         for _ in range(3):
-            self.read_again()
-        self.assertEqual(self.source.whole_reads, 1)
+            self.renew_proof()
+        self.assertEqual(self.source.configuration_reads, 1)
 
-    def test_unsound_configuration_proves_nothing_of_the_one_in_force(self) -> None:
+    def test_invalid_configuration_does_not_prove_the_one_in_force(self) -> None:
         self.step()
         proof = self.recorder.publication.proof
-        broken = PublishedItem("op/config", 45, b"{}")
-        self.source.at, self.source.change = 50, ConfigurationChange(broken, 50)
+        invalid = PublishedItem("op/config", 45, b"{}")
+        self.source.revision, self.source.change = 50, ConfigurationChange(invalid, 50)
         for _ in range(3):
-            self.assertEqual(self.read_again(), proof)
+            self.assertEqual(self.renew_proof(), proof)
 
-    def test_failures_back_off_and_are_told_once(self) -> None:
+    def test_failures_back_off_and_are_logged_once(self) -> None:
         self.source.failing = True
         for _ in range(200):
             self.step()
             self.clock.advance(0.05)
-        self.assertLess(self.source.reads, 14)
+        self.assertLess(self.source.list_reads, 14)
         changes = [event for event in self.log.events if isinstance(event, SourceChanged)]
         self.assertEqual(len(changes), 1)
         self.assertFalse(self.reader.answers)
@@ -409,13 +414,13 @@
         self.assertTrue(self.reader.answers)
         self.assertTrue(any(getattr(event, "answers", False) for event in self.log.events))
 
-    def test_backoff_has_jitter_and_an_end(self) -> None:
+    def test_backoff_has_jitter_and_an_upper_bound(self) -> None:
         self.assertLess(backoff_seconds(0, 0.0), backoff_seconds(0, 1.0))
         self.assertLessEqual(backoff_seconds(50, 1.0), MAX_BACKOFF_SECONDS)
 
 
 class LogTest(unittest.TestCase):
-    def test_lines_are_bounded_and_refusals_go_last(self) -> None:
+    def test_lines_are_bounded_and_routine_ones_dropped_first(self) -> None:
         import os
 
         from pondpin.relay.log_events import CallerGone, PublishedRefused
@@ -432,15 +437,15 @@
         log.write(PublishedRefused(key="k", reason="last"))
         log.flush()
         lines = os.read(reading, 1 << 20).splitlines()
-        kinds = [msgspec.json.decode(line)["event"] for line in lines]
-        self.assertEqual(kinds.count("published_refused"), 101)
-        self.assertEqual(kinds.count("caller_gone"), 300)
-        self.assertEqual(kinds.count("lines_dropped"), 1)
+        tags = [msgspec.json.decode(line)["event"] for line in lines]
+        self.assertEqual(tags.count("published_refused"), 101)
+        self.assertEqual(tags.count("caller_gone"), 300)
+        self.assertEqual(tags.count("lines_dropped"), 1)
         self.assertEqual(log.dropped, 1700)
         os.close(reading)
         os.close(writing)
 
-    def test_a_full_pipe_is_not_waited_for(self) -> None:
+    def test_full_pipe_does_not_block(self) -> None:
         import os
 
         from pondpin.relay.log_events import PublishedRefused
--- a/pondpin/tests/test_relay_restore.py
+++ b/pondpin/tests/test_relay_restore.py
@@ -1,4 +1,4 @@
-"""The published source comes back from an older copy: revisions are given out again."""
+"""The published source is restored from an older copy and reuses revisions."""
 
 import asyncio
 import unittest
@@ -8,14 +8,14 @@
 from pondpin.tools.virtual_time import run_virtual
 
 SETTLE_SECONDS = 6.0
-# The operator writes this often.
+# The interval between the operator's writes.
 WRITE_SECONDS = 0.7
-# From a version's confirmation until it is in force everywhere.
+# The time limit from a version's confirmation until it is in force on all instances.
 APPLY_SECONDS = 1.0
 
 
 async def write_versions(fleet: DocumentFleet, first: int, last: int) -> None:
-    """Publish versions, and let each of them spread."""
+    """Publish versions and give each time to spread."""
     for version in range(first, last + 1):
         fleet.publish(version)
         await asyncio.sleep(WRITE_SECONDS)
@@ -23,7 +23,7 @@
 
 class RestoreTest(unittest.TestCase):
     def test_config_written_after_store_restore_is_applied(self) -> None:
-        async def work() -> None:
+        async def scenario() -> None:
             fleet = DocumentFleet(3, instances=8, routes=20, rate=TEN_MEGABIT, seed=1)
             await fleet.start(SETTLE_SECONDS)
             await write_versions(fleet, 2, 6)
@@ -37,10 +37,10 @@
             await fleet.stop()
             self.assertLess(seconds, APPLY_SECONDS)
 
-        run_virtual(work())
+        run_virtual(scenario())
 
-    def test_copy_of_the_version_in_force_leaves_nobody_behind(self) -> None:
-        async def work() -> None:
+    def test_copy_of_the_version_in_force_leaves_no_instance_behind(self) -> None:
+        async def scenario() -> None:
             fleet = DocumentFleet(3, instances=8, routes=20, rate=TEN_MEGABIT, seed=1)
             await fleet.start(SETTLE_SECONDS)
             await write_versions(fleet, 2, 4)
@@ -54,29 +54,29 @@
                 self.assertEqual(publication.in_force.epoch, fleet.store.epoch)
             await fleet.stop()
 
-        run_virtual(work())
+        run_virtual(scenario())
 
-    def test_nothing_goes_back_or_stays_behind_through_restores_in_series(self) -> None:
+    def test_instances_neither_revert_nor_stay_behind_through_repeated_restores(self) -> None:
         for seed in range(6):
             with self.subTest(seed=seed):
-                self.assertEqual(play(8, seed, seconds=20.0), [])
+                self.assertEqual(run_restores(8, seed, seconds=20.0), [])
 
     def test_large_fleet_follows_restores(self) -> None:
-        self.assertEqual(play(195, seed=1, seconds=6.0), [])
+        self.assertEqual(run_restores(195, seed=1, seconds=6.0), [])
 
 
-def play(instances: int, seed: int, seconds: float) -> list[str]:
-    """Play restores beside other trouble; returns what broke."""
+def run_restores(instances: int, seed: int, seconds: float) -> list[str]:
+    """Run restores among other faults; returns the violations."""
 
-    async def work() -> list[str]:
+    async def scenario() -> list[str]:
         fleet = RestoreFleet(3, instances, routes=20, rate=TEN_MEGABIT, seed=seed)
         await fleet.start(SETTLE_SECONDS)
         await fleet.play(seconds)
         await fleet.stop()
         return fleet.faults
 
-    found: list[str] = run_virtual(work())
-    return found
+    violations: list[str] = run_virtual(scenario())
+    return violations
 
 
 if __name__ == "__main__":
--- a/pondpin/tests/test_restore_machine.py
+++ b/pondpin/tests/test_restore_machine.py
@@ -1,5 +1,7 @@
-"""A state machine over a store, readers and peers: nothing goes back, stays behind or is falsely
-proved, whatever happens between the parts of a read.
+"""A state machine of a store, readers and peers.
+
+Versions never decrease, no instance stays behind and no proof is false, whatever happens between
+the parts of a read.
 """
 
 import random
@@ -37,16 +39,16 @@
 
 MEMBERS = 3
 MILLISECONDS = 1000
-# What may happen between the parts of a read.
+# A change of the store between the parts of a read.
 Event = Callable[[], None]
 
 
 class _StoreHttp(HttpClient):
-    """Answers from the store's state; an event may come before or after an answer is made."""
+    """Answers from the store's state; an event may change it before or after an answer is made."""
 
     def __init__(self, store: SimulatedStore) -> None:
         self.store = store
-        # The call at which something happens, and whether its answer is made before that.
+        # By the number of a call: whether its answer is made before the event, and the event.
         self.events_by_call: dict[int, tuple[bool, Event]] = {}
         self.calls = 0
 
@@ -71,17 +73,17 @@
 
 
 class Member:
-    """An instance's publication, reader and ear for peers."""
+    """An instance's publication, reader, document server and peer synchronization."""
 
     def __init__(self, gossip: Gossip, store: SimulatedStore, clock: FakeClock) -> None:
         self.versions: list[int] = []
         self.publication = Publication(
-            PlatformDecoder(), self._take, lambda _: None, lambda *_: None
+            PlatformDecoder(), self._record_configuration, lambda _: None, lambda *_: None
         )
         self.gossip = gossip
         gossip.publication = self.publication
-        self.news = PublishedSync(gossip)
-        self.news.__dict__["_fetcher"] = self
+        self.published_sync = PublishedSync(gossip)
+        self.published_sync.__dict__["_fetcher"] = self
         self.server = DocumentServer(self.publication, clock)
         self.http = _StoreHttp(store)
         self.reader = ReaderController(
@@ -100,11 +102,11 @@
         self.clock = clock
         self.members: list[Member] = []
 
-    def _take(self, configuration: RelayConfiguration) -> None:
+    def _record_configuration(self, configuration: RelayConfiguration) -> None:
         self.versions.append(configuration.version)
 
-    def receive_offer(self, host: str, offer: object, is_far: bool, now: float) -> None:
-        """Fetch a document at once."""
+    def receive_offer(self, host: str, offer: object, is_remote: bool, now: float) -> None:
+        """Fetch the whole document at once."""
         peer = next(item for item in self.members if item.gossip.address.host == host)
         kind = (
             DocumentKind.UPSTREAMS if isinstance(offer, ListOffer) else (DocumentKind.CONFIGURATION)
@@ -123,8 +125,8 @@
             self.publication.apply_list(decode_list(document), read_at, now, reply.epoch)
 
 
-def read_all(member: Member) -> None:
-    """Read the source once, whatever the age of the proof; a read may fail."""
+def read_source(member: Member) -> None:
+    """Read the source once, whatever the age of the proof; the read may fail."""
     try:
         run_async(member.reader._read())
     except CallFailedError:
@@ -132,7 +134,7 @@
 
 
 class RestoreMachine(RuleBasedStateMachine):
-    """Steps of the operator, the store, the instances and their messages."""
+    """Steps of the operator, the store, the instances and their digests."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -144,25 +146,25 @@
             member.members = self.members
         self.version = 0
         self.sequence = 0
-        # The version that the store held from each moment on.
+        # When the store changed to each version.
         self.stored: list[tuple[float, int]] = []
         self.copies: list[tuple[StoreCopy, int]] = []
         self.write_version(1)
         self.copy()
 
-    def tick(self) -> None:
+    def advance_clock(self) -> None:
         self.clock.advance(0.05)
 
     @rule(step=st.integers(1, 3))
     def write_version(self, step: int) -> None:
-        self.tick()
+        self.advance_clock()
         self.version += step
         self.store.put(CONFIGURATION_KEY, sample_configuration(self.version))
         self.stored.append((self.clock(), self.version))
 
     @rule(worker=st.integers(0, 2))
     def write_entry(self, worker: int) -> None:
-        self.tick()
+        self.advance_clock()
         self.sequence += 1
         entry = sample_entry(ENGINES, f"10.0.0.{worker + 1}:80", sequence=self.sequence)
         self.store.put(f"{UPSTREAMS_PREFIX}w{worker}", entry)
@@ -173,7 +175,7 @@
 
     @rule(number=st.integers(0, 99))
     def restore(self, number: int) -> None:
-        self.tick()
+        self.advance_clock()
         copy, version = self.copies[number % len(self.copies)]
         self.store.restore(copy)
         self.stored.append((self.clock(), version))
@@ -191,47 +193,47 @@
     )
     def read(self, member: int, events: dict[int, tuple[bool, int]], restores: bool) -> None:
         """Read, while the store is restored or written between the parts of the read."""
-        self.tick()
-        reading = self.members[member]
-        reading.http.calls = 0
+        self.advance_clock()
+        reader = self.members[member]
+        reader.http.calls = 0
 
         def event(number: int) -> Event:
             return lambda: self.restore(number) if restores else self.write_version(1)
 
-        reading.http.events_by_call = {
+        reader.http.events_by_call = {
             call: (is_late, event(number)) for call, (is_late, number) in events.items()
         }
-        read_all(reading)
-        reading.http.events_by_call.clear()
+        read_source(reader)
+        reader.http.events_by_call.clear()
         if not events:
-            self.check_not_behind(reading)
+            self.check_not_behind(reader)
 
     def check_not_behind(self, member: Member) -> None:
-        """After a whole read nothing that the store holds is newer."""
+        """After a complete read the store holds nothing newer."""
         assert member.publication.in_force.version >= self.stored[-1][1]
 
-    @rule(teller=st.integers(0, MEMBERS - 1), hearer=st.integers(0, MEMBERS - 1))
-    def tell(self, teller: int, hearer: int) -> None:
-        """A digest that answers one of the hearer's."""
-        if teller == hearer:
+    @rule(sender=st.integers(0, MEMBERS - 1), receiver=st.integers(0, MEMBERS - 1))
+    def send_digest(self, sender: int, receiver: int) -> None:
+        """Send a digest that echoes one of the receiver's."""
+        if sender == receiver:
             return
-        there, here = self.members[teller], self.members[hearer]
-        asked = self.clock()
-        self.tick()
+        remote, local = self.members[sender], self.members[receiver]
+        echo_sent_at = self.clock()
+        self.advance_clock()
         digest = msgspec.structs.replace(
-            there.gossip.build_digest(self.clock()),
-            echo_boot=here.gossip.boot,
-            echo=int(asked * MILLISECONDS),
+            remote.gossip.build_digest(self.clock()),
+            echo_boot=local.gossip.boot,
+            echo=int(echo_sent_at * MILLISECONDS),
         )
-        here.news.receive(digest, self.clock())
+        local.published_sync.receive(digest, self.clock())
 
     @invariant()
-    def nothing_goes_back(self) -> None:
+    def versions_never_decrease(self) -> None:
         for member in self.members:
             assert member.versions == sorted(member.versions), member.versions
 
     @invariant()
-    def no_proof_is_false(self) -> None:
+    def proofs_are_true(self) -> None:
         for member in self.members:
             proof = member.publication.proof
             if proof is None:
@@ -244,23 +246,23 @@
             assert proof.newest.version >= min(held), (proof, self.stored)
 
     def teardown(self) -> None:
-        """Left alone, all have the newest version and one list."""
+        """Without further events all instances reach the newest version and the same list."""
         self.write_version(1)
         for member in self.members:
-            read_all(member)
+            read_source(member)
             assert member.publication.in_force.version == self.version
         tags = {member.publication.list_tag for member in self.members}
         assert len(tags) == 1
 
 
 class RestoreMachineTest(unittest.TestCase):
-    def test_no_sequence_of_steps_breaks_it(self) -> None:
+    def test_invariants_hold_for_all_sequences_of_steps(self) -> None:
         machine = RestoreMachine.TestCase
         machine.settings = settings(max_examples=80, stateful_step_count=40, deadline=None)
         result = unittest.TestResult()
         machine("runTest").run(result)
-        broken = [text for _, text in (*result.errors, *result.failures)]
-        self.assertEqual(broken, [])
+        problems = [text for _, text in (*result.errors, *result.failures)]
+        self.assertEqual(problems, [])
 
 
 if __name__ == "__main__":
--- a/pondpin/tests/test_source_monitor.py
+++ b/pondpin/tests/test_source_monitor.py
@@ -1,4 +1,4 @@
-"""What an instance logs of the source beside the published values."""
+"""What an instance logs about the source's headers and revisions."""
 
 import unittest
 
@@ -17,31 +17,31 @@
         self.log = ListLog()
         self.monitor = SourceMonitor(self.log)
 
-    def lines(self, kind: type[LogEvent]) -> list[LogEvent]:
+    def logged(self, kind: type[LogEvent]) -> list[LogEvent]:
         return [event for event in self.log.events if isinstance(event, kind)]
 
-    def test_a_source_revision_that_falls_is_logged(self) -> None:
+    def test_decreasing_source_revision_is_logged(self) -> None:
         for revision in (40, 41, 30, 31, 31):
             self.monitor.receive_revision(revision, 2, PublishedVersion(7, 1, 38))
         self.assertEqual(
-            self.lines(SourceRewound),
+            self.logged(SourceRewound),
             [SourceRewound(before=41, revision=30, epoch=2, version=7, in_force=38)],
         )
 
     def test_an_unknown_header_is_logged_once(self) -> None:
         for value in ("1", "2"):
             self.monitor.receive_head(SourceHead(unknown=(("store-mood", value),)))
-        self.assertEqual(self.lines(UnknownHeader), [UnknownHeader(name="store-mood", value="1")])
+        self.assertEqual(self.logged(UnknownHeader), [UnknownHeader(name="store-mood", value="1")])
 
     def test_lines_on_unknown_headers_are_bounded(self) -> None:
         for number in range(3 * MAX_UNKNOWN_HEADERS):
             self.monitor.receive_head(SourceHead(unknown=((f"store-{number}", "x" * 500),)))
         self.assertEqual(len(self.log.events), MAX_UNKNOWN_HEADERS)
 
-    def test_the_store_adapter_passes_unknown_headers_of_every_answer_on(self) -> None:
+    def test_store_adapter_reports_unknown_headers_of_every_answer(self) -> None:
         heads: list[SourceHead] = []
 
-        async def work() -> None:
+        async def scenario() -> None:
             platform = LocalPlatform(the_loop()[1], engines=1, plain=0, instances=0)
             await platform.start()
             platform.store.headers = {"Store-Mood": "low"}
@@ -53,7 +53,7 @@
             finally:
                 await platform.stop()
 
-        run_async(work())
+        run_async(scenario())
         self.assertEqual(heads, [SourceHead(1, unknown=(("store-mood", "low"),))] * 2)
 
 
--- a/pondpin/tests/test_store_epochs.py
+++ b/pondpin/tests/test_store_epochs.py
@@ -1,4 +1,4 @@
-"""The epoch that answers of the store name: every answer, odd values, reads in parts."""
+"""Epochs in the store's answers: all statuses, invalid values and reads in several parts."""
 
 import random
 import unittest
@@ -26,10 +26,10 @@
 
 
 class HeaderTest(unittest.TestCase):
-    def epoch(self, text: str) -> Head:
+    def parse(self, text: str) -> Head:
         return read_head({HEADER: text})
 
-    def test_an_epoch_is_a_number_of_one_machine_word(self) -> None:
+    def test_epoch_is_a_non_negative_signed_64_bit_number(self) -> None:
         for text, epoch in (
             ("0", 0),
             ("1", 1),
@@ -37,14 +37,14 @@
             ("007", 7),
             (str(2**63 - 1), 2**63 - 1),
         ):
-            self.assertEqual(self.epoch(text), Head(epoch))
+            self.assertEqual(self.parse(text), Head(epoch))
 
-    def test_an_epoch_that_cannot_be_understood_counts_as_none(self) -> None:
+    def test_invalid_epoch_counts_as_none(self) -> None:
         for text in ("-1", "two", "1.5", "1e3", "7, 7", "7,8", "\u0667", str(2**63), "9" * 400):
-            self.assertEqual(self.epoch(text), Head(0, odd_epoch=text))
-        self.assertEqual(self.epoch(""), Head(0, odd_epoch="an empty value"))
+            self.assertEqual(self.parse(text), Head(0, odd_epoch=text))
+        self.assertEqual(self.parse(""), Head(0, odd_epoch="an empty value"))
 
-    def test_a_store_without_epochs_is_the_lowest(self) -> None:
+    def test_store_without_epochs_has_the_lowest_epoch(self) -> None:
         self.assertEqual(read_head({"content-type": "application/json"}), Head())
 
 
@@ -54,11 +54,11 @@
     return platform
 
 
-class EveryAnswerTest(unittest.TestCase):
+class AnswerEpochTest(unittest.TestCase):
     def heads(self, fault: StoreFault) -> list[Head]:
         heads: list[Head] = []
 
-        async def work() -> None:
+        async def scenario() -> None:
             platform = await start_platform()
             platform.store.epoch = 5
             platform.store.fail(fault)
@@ -76,7 +76,7 @@
             finally:
                 await platform.stop()
 
-        run_async(work())
+        run_async(scenario())
         return heads
 
     def test_answers_of_every_status_name_the_epoch(self) -> None:
@@ -84,7 +84,7 @@
             self.assertEqual(self.heads(fault), [Head(5)] * 3)
 
     def test_the_results_of_all_reads_carry_the_epoch(self) -> None:
-        async def work() -> None:
+        async def scenario() -> None:
             platform = await start_platform()
             store = PlatformStore(platform.http, str(platform.source))
             platform.store.epoch = 5
@@ -100,13 +100,13 @@
                 platform.store.forget_history()
                 change = await store.read_change(0, 2.0)
                 self.assertEqual(change, ConfigurationChange(None, None, 5))
-                # A watch from a revision that only the lost history had.
+                # A watch from a revision that only the lost history has.
                 change = await store.read_change(listed.at + 99, 2.0)
                 self.assertEqual(change, ConfigurationChange(None, None, 5))
             finally:
                 await platform.stop()
 
-        run_async(work())
+        run_async(scenario())
 
 
 class _PagedHttp(HttpClient):
@@ -130,7 +130,7 @@
 
 
 class PagesTest(unittest.TestCase):
-    def test_pages_of_two_epochs_are_no_list(self) -> None:
+    def test_list_with_pages_of_two_epochs_is_rejected(self) -> None:
         first = b'{"items":[{"tlsKey":"servers/a","value":"","revision":3}],"at":9,"more":true}'
         last = b'{"items":[],"at":4}'
         heads: list[Head] = []
@@ -150,7 +150,7 @@
         self.source = FakeSource(self.clock)
         self.source.epoch = 1
         self.source.configuration = configuration_item(10, 62, 1)
-        self.source.at = 62
+        self.source.revision = 62
         self.recorder = Recorder()
         self.publication = self.recorder.publication
         self.log = ListLog()
@@ -171,68 +171,68 @@
         return self.publication.proof
 
     def restore(self, version: int, revision: int) -> None:
-        """The store comes back from a copy."""
+        """Restore the store from a copy."""
         self.source.epoch += 1
-        self.source.at = revision
+        self.source.revision = revision
         self.source.configuration = configuration_item(version, revision, self.source.epoch)
         self.source.change = ConfigurationChange(None, revision)
 
-    def test_a_copy_that_is_behind_proves_that_nothing_newer_was_published(self) -> None:
+    def test_older_copy_proves_that_nothing_newer_is_published(self) -> None:
         self.restore(6, 34)
         self.assertEqual(self.read(), Proof(published_version(6, 34, 2), self.clock.now))
         self.assertEqual(self.recorder.versions, [10])
         self.assertEqual(self.publication.in_force, published_version(10, 62, 1))
 
-    def test_a_version_written_after_the_restore_is_taken_below_the_old_revision(self) -> None:
+    def test_version_written_after_a_restore_is_applied_under_a_lower_revision(self) -> None:
         self.restore(6, 34)
         self.read()
-        self.source.at = 35
+        self.source.revision = 35
         self.source.change = ConfigurationChange(configuration_item(11, 35, 2), 35)
         self.read()
         self.assertEqual(self.recorder.versions, [10, 11])
 
     def test_unchanged_since_an_earlier_epoch_proves_nothing(self) -> None:
-        # The history of the copy has the revision that was read last, with other changes.
+        # The copy's history reaches the revision that was read last, with other changes.
         self.restore(11, 61)
-        self.source.at = 62
-        whole = self.source.whole_reads
+        self.source.revision = 62
+        reads = self.source.configuration_reads
         self.read()
-        self.assertEqual(self.source.whole_reads, whole + 1)
+        self.assertEqual(self.source.configuration_reads, reads + 1)
         self.assertEqual(self.recorder.versions, [10, 11])
 
-    def test_the_copy_is_read_whole_once(self) -> None:
+    def test_configuration_of_a_copy_is_fetched_once(self) -> None:
         self.restore(6, 34)
-        whole = self.source.whole_reads
+        reads = self.source.configuration_reads
         for _ in range(4):
             self.read()
-        self.assertEqual(self.source.whole_reads, whole + 1)
+        self.assertEqual(self.source.configuration_reads, reads + 1)
 
-    def test_a_read_that_spans_two_epochs_is_begun_again(self) -> None:
+    def test_read_that_spans_two_epochs_is_retried(self) -> None:
         self.restore(11, 34)
-        lists = self.source.reads
+        reads_before = self.source.list_reads
         self.source.next_epochs = [1, 2]
         self.publication.receive_epoch(2, "its answer")
         self.read()
         self.assertEqual(self.recorder.versions, [10, 11])
-        self.assertEqual(self.source.reads, lists + 2)
+        self.assertEqual(self.source.list_reads, reads_before + 2)
 
     def test_a_list_of_one_epoch_and_a_value_of_another_prove_nothing(self) -> None:
         proof = self.publication.proof
-        self.source.at = 70
+        self.source.revision = 70
         self.source.next_epochs = [2, 3] * MAX_EPOCH_READS
         self.assertEqual(self.read(), proof)
         self.assertFalse(self.reader.answers)
 
-    def test_an_answer_of_an_earlier_epoch_brings_nothing(self) -> None:
+    def test_answer_of_an_earlier_epoch_is_rejected(self) -> None:
         proof = self.publication.proof
         tag = self.publication.list_tag
         self.publication.receive_epoch(2, "a peer")
-        self.source.at, self.source.configuration = 99, configuration_item(12, 99, 1)
+        self.source.revision, self.source.configuration = 99, configuration_item(12, 99, 1)
         self.assertEqual(self.read(), proof)
         self.assertEqual((self.recorder.versions, self.publication.list_tag), ([10], tag))
         self.assertFalse(self.reader.answers)
 
-    def test_a_copy_without_any_configuration_leaves_the_one_in_force(self) -> None:
+    def test_copy_without_a_configuration_keeps_the_one_in_force(self) -> None:
         self.restore(6, 0)
         self.source.configuration = None
         proof = self.read()
@@ -240,17 +240,17 @@
         self.assertEqual(proof.sent_at, self.clock.now)
         self.assertEqual(self.recorder.versions, [10])
 
-    def test_the_same_version_with_other_bytes_in_a_later_epoch_is_taken(self) -> None:
+    def test_same_version_with_other_content_in_a_later_epoch_is_applied(self) -> None:
         self.restore(6, 34)
         self.read()
         item = configuration_item(10, 35, 2)
         other = PublishedItem(item.key, 35, item.value.replace(b"riders", b"ridera"), 2)
-        self.source.at, self.source.change = 35, ConfigurationChange(other, 35)
+        self.source.revision, self.source.change = 35, ConfigurationChange(other, 35)
         self.read()
         self.assertEqual(self.recorder.versions, [10, 10])
         self.assertEqual(self.publication.in_force.epoch, 2)
 
-    def test_the_same_content_in_a_later_epoch_is_not_taken_again(self) -> None:
+    def test_same_content_in_a_later_epoch_is_not_applied_again(self) -> None:
         self.restore(10, 30)
         self.read()
         self.assertEqual(self.recorder.versions, [10])
--- a/pondpin/tests/test_store_fields.py
+++ b/pondpin/tests/test_store_fields.py
@@ -1,4 +1,4 @@
-"""Every header and field of the store's answers, and what becomes of it."""
+"""How the adapter handles each header and field of the store's answers."""
 
 import dataclasses
 import unittest
@@ -18,10 +18,10 @@
 
 DECODED, IGNORED, LOGGED = "decoded", "ignored", "logged"
 
-# The protocol page's words for the store: where they stand, and what the adapter does with them.
+# The headers and fields that the protocol documents, and what the adapter does with them.
 HEADERS = {
     "store-era": DECODED,
-    # Whatever else the store says of itself.
+    # Any other header about the store.
     "store-anything": LOGGED,
     "content-type": IGNORED,
     "content-length": IGNORED,
@@ -32,9 +32,9 @@
     "value": DECODED,
     "revision": DECODED,
     "gone": DECODED,
-    # The creation of an item decides nothing.
+    # The time of an item's creation is not used.
     "made": IGNORED,
-    # Entries go with their leases; only that they go is of use.
+    # Entries expire with their leases; only the removal is used.
     "lease": IGNORED,
 }
 RANGE = {"items": DECODED, "more": DECODED, "at": DECODED}
@@ -49,27 +49,27 @@
     "coldRemainingMs": DECODED,
     "sequence": DECODED,
     "born": DECODED,
-    # An engine's report says them, and is younger.
+    # Taken from the engine's report, which is newer.
     "stage": IGNORED,
     "models": IGNORED,
 }
 
 
-def names_of(kind: type[msgspec.Struct]) -> set[str]:
+def field_names(kind: type[msgspec.Struct]) -> set[str]:
     return set(kind.__struct_encode_fields__)
 
 
-def decoded(words: dict[str, str]) -> set[str]:
-    return {name for name, fate in words.items() if fate == DECODED}
+def decoded_names(handling_by_name: dict[str, str]) -> set[str]:
+    return {name for name, handling in handling_by_name.items() if handling == DECODED}
 
 
-class WordsTest(unittest.TestCase):
+class StoreFieldsTest(unittest.TestCase):
     def test_headers(self) -> None:
-        for name, fate in HEADERS.items():
+        for name, handling in HEADERS.items():
             head = read_head({name: "7"})
             with self.subTest(name):
-                self.assertEqual(head.epoch == 7, fate == DECODED)
-                self.assertEqual(bool(head.unknown), fate == LOGGED)
+                self.assertEqual(head.epoch == 7, handling == DECODED)
+                self.assertEqual(bool(head.unknown), handling == LOGGED)
         self.assertTrue(EPOCH_HEADER.startswith(STORE_HEADERS))
         self.assertEqual(
             {field.name for field in dataclasses.fields(SourceHead)},
@@ -77,10 +77,10 @@
         )
 
     def test_fields_of_items_ranges_watches_and_entries(self) -> None:
-        self.assertEqual(names_of(WireItem), decoded(ITEM))
-        self.assertEqual(names_of(WireRange), decoded(RANGE))
-        self.assertEqual(names_of(WireEvents), decoded(EVENTS))
-        self.assertEqual(names_of(WireServer), decoded(ENTRY))
+        self.assertEqual(field_names(WireItem), decoded_names(ITEM))
+        self.assertEqual(field_names(WireRange), decoded_names(RANGE))
+        self.assertEqual(field_names(WireEvents), decoded_names(EVENTS))
+        self.assertEqual(field_names(WireServer), decoded_names(ENTRY))
 
 
 if __name__ == "__main__":
