--- a/pondpin/relay/published/announced_versions.py
+++ b/pondpin/relay/published/announced_versions.py
@@ -4,8 +4,8 @@
 
 from pondpin.relay.published.freshness import PublishedVersion
 
-# A large fleet hears from each neighbour about every 2 s; a version that is no longer announced
-# may not be available any more.
+# In a large fleet a neighbour's digest arrives every 2 s; a version that is no longer announced may
+# not be available any more.
 ANNOUNCEMENT_TTL_SECONDS = 2.5
 
 
--- a/pondpin/relay/published/document_fetch.py
+++ b/pondpin/relay/published/document_fetch.py
@@ -89,7 +89,10 @@
         self._transfer_by_kind = {kind: Transfer() for kind in DocumentKind}
 
     def receive_offer(self, host: str, offer: Offer, is_remote: bool, now: float) -> None:
-        """Fetch a newer document from a peer; is_remote: a local peer may have it soon."""
+        """Fetch a newer document from a peer.
+
+        is_remote: the peer is in another data centre, and a local one may have the document soon.
+        """
         is_list = isinstance(offer, ListOffer)
         kind = DocumentKind.UPSTREAMS if is_list else DocumentKind.CONFIGURATION
         transfer = self._transfer_by_kind[kind]
--- a/pondpin/relay/published/document_server.py
+++ b/pondpin/relay/published/document_server.py
@@ -25,7 +25,7 @@
 )
 from pondpin.relay.published.publication import Publication
 
-# Concurrent transfers over a link. With few of them each ends soon and its receiver serves others;
+# Concurrent transfers, which share a link. With few, each ends soon and its receiver serves others;
 # with all at once none would end for long, and callers' streams would queue behind all the pieces.
 MAX_TRANSFERS = 3
 # A receiver that requests no further piece for this long has failed or uses another peer.
--- a/pondpin/relay/published/reader.py
+++ b/pondpin/relay/published/reader.py
@@ -225,7 +225,7 @@
         return read.item
 
     def _known_in(self, epoch: int) -> KnownConfiguration | None:
-        """The known configuration in an epoch, by an own read or a peer's."""
+        """The known configuration in an epoch, from this instance's reads or a peer."""
         in_force = self._publication.in_force
         known = self._known
         if known is not None and known.epoch != epoch:
--- a/pondpin/tests/test_store_fields.py
+++ b/pondpin/tests/test_store_fields.py
@@ -32,7 +32,7 @@
     "value": DECODED,
     "revision": DECODED,
     "gone": DECODED,
-    # The time of an item's creation is not used.
+    # An item's creation is not used.
     "made": IGNORED,
     # Entries expire with their leases; only the removal is used.
     "lease": IGNORED,
