--- a/pondpin/relay/__init__.py
+++ b/pondpin/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Relaying of opaque HTTP requests: routes, keys, upstreams, streams and parts of prompts."""
+"""Relaying of opaque HTTP requests: routing, placement, streams, prompt parts and gossip."""
--- a/pondpin/relay/call.py
+++ b/pondpin/relay/call.py
@@ -1,4 +1,4 @@
-"""A relayed request on its way, and how its attempts end."""
+"""An admitted request, the results of its attempts and its progress."""
 
 import enum
 from dataclasses import dataclass
@@ -11,7 +11,8 @@
 if TYPE_CHECKING:
     from pondpin.pace import Permit
 
-# Callers give a stream up after the longest of these, also before its first event.
+# A caller abandons a stream that is silent for the longest of: this many seconds, latency targets
+# and gap targets of its route. The same holds before the first event.
 MIN_CALLER_TIMEOUT_SECONDS = 2.0
 CALLER_TIMEOUT_TARGETS = 4.0
 CALLER_TIMEOUT_GAPS = 8.0
@@ -19,9 +20,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayCall:
-    """An admitted request; arrived and deadline are by the steady clock.
+    """An admitted request; arrived_at and deadline are monotonic times.
 
-    identity: see `pondpin.request_identity`.
+    rank: 0 is the most urgent. identity: see `pondpin.request_identity`.
     """
 
     incoming: Incoming
@@ -38,18 +39,18 @@
 
     @property
     def id(self) -> str:
-        """The id that the caller gave."""
+        """The attempt id that the caller sent."""
         return self.metadata.attempt_id
 
     @property
     def resume_event_number(self) -> int:
-        """The number of the last event that the caller has, -1 when it begins anew."""
+        """The number of the last event that the caller received, -1 for a new stream."""
         text = self.metadata.resume_after
         return int(text) if text.isdecimal() else -1
 
     @property
     def caller_timeout(self) -> float:
-        """Seconds of silence after which the caller gives a stream up."""
+        """Seconds of silence after which the caller abandons a stream."""
         route = self.route
         longest = max(
             CALLER_TIMEOUT_TARGETS * route.latency_target, CALLER_TIMEOUT_GAPS * route.gap_target
@@ -72,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BufferedResponse:
-    """An upstream's whole answer."""
+    """An upstream's complete response."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
@@ -81,10 +82,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnd:
-    """The end of an attempt; at_fault is where the upstream is that made it fail.
+    """The result of an attempt.
 
-    refused: nobody listened at the upstream's place. A withheld one was planned and not sent, by
-    what held once its connection was open.
+    failed_endpoint: the upstream that caused the failure. connection_refused: no process listened
+    at the upstream's address. A withheld attempt was planned and not sent, because a send check
+    failed once its connection was open.
     """
 
     kind: EndKind
@@ -100,20 +102,19 @@
 
     @property
     def was_sent(self) -> bool:
-        """Whether any byte can have reached the upstream."""
+        """Whether any byte may have reached the upstream."""
         return self.kind not in (EndKind.NOT_SENT, EndKind.WITHHELD)
 
 
 @dataclass(slots=True)
 class Progress:
-    """What a request's attempts have done so far."""
+    """The state of a request over its attempts."""
 
     attempts: int = 0
     sends: int = 0
     may_have_run: bool = False
-    # Lives of upstreams.
+    # Lives of upstreams that an attempt was sent to.
     tried_lives: frozenset[int] = frozenset()
-    # The id and the life of the last one.
     last_upstream: str = ""
     last_life: int = 0
     events: int = 0
@@ -122,15 +123,15 @@
     last_event_at: float = 0.0
     longest_gap: float = 0.0
     head_sent: bool = False
-    # What the next placement must heed of a request that may end its upstream: it runs at one,
-    # where the fewest others are, and not on software that it has ended.
+    # A request suspected of crashing upstreams runs at a single one, the one with the fewest other
+    # requests, and not on a software release that it has crashed.
     suspected: bool = False
     spent_releases: frozenset[int] = frozenset()
-    # For the next send to an upstream that takes requests by permit only; not spent yet.
+    # The unused permit for the next send to a rate-limited upstream.
     permit: "Permit | None" = None
 
     def record_event(self, number: int, now: float) -> None:
-        """An event went to the caller."""
+        """Record an event that was sent to the caller."""
         if self.first_event_at is None:
             self.first_event_at = now
         else:
--- a/pondpin/relay/entry.py
+++ b/pondpin/relay/entry.py
@@ -1,4 +1,4 @@
-"""Puts a relaying instance together: sockets, beliefs, decisions, controllers."""
+"""Composition of a relaying instance from its servers, tables, handlers and controllers."""
 
 import asyncio
 import random
@@ -37,12 +37,7 @@
     LazyPieceClient,
 )
 from pondpin.relay.log import EventLog
-from pondpin.relay.log_events import (
-    Reloaded,
-    Started,
-    Stopped,
-    Stopping,
-)
+from pondpin.relay.log_events import Reloaded, Started, Stopped, Stopping
 from pondpin.relay.mechanisms import Mechanism
 from pondpin.relay.peers.controller import GossipController
 from pondpin.relay.peers.gossip import Gossip
@@ -59,29 +54,29 @@
 from pondpin.request_identity import make_key
 from pondpin.runtime import steady_now, wall_now
 
-# A way to an upstream takes a few ms; a lost opening packet is sent again after a second.
+# Connecting to an upstream takes a few ms; TCP retransmits a lost SYN only after 1 s.
 CONNECT_SECONDS = 0.3
-# Upstreams close idle connections; a short time keeps few of them and rarely meets a closing.
+# Short, so that few idle connections are kept and requests rarely meet one that is being closed.
 IDLE_SECONDS = 4.0
-# The bound of a key leaves this much for the way to the upstream and the clocks' rates.
+# Part of the key bound reserved for the delay to the upstream and clock drift.
 KEY_MARGIN_SECONDS = 0.4
-# A change of the configuration is read by some instance within this, and told to the others.
-NOTICE_SECONDS = 0.7
+# Within this, some instance has read a configuration change and broadcast it.
+CHANGE_BROADCAST_SECONDS = 0.7
 DRAIN_POLL_SECONDS = 0.1
-# The balancer takes an instance out after two questions a second apart.
-BALANCER_SECONDS = 3.0
-# Everything that is still open is cut this long before the process would be killed.
+# The load balancer removes an instance after two failed readiness checks that are 1 s apart.
+BALANCER_REMOVAL_SECONDS = 3.0
+# Open requests are cancelled this long before the process would be killed.
 STOP_MARGIN_SECONDS = 0.4
-# An instance that has just started knows of no peer's work: two digests of each come in this time.
+# A started instance doesn't know its peers' placements: each peer sends two digests in this time.
 SETTLE_SECONDS = 0.5
-# An instance that starts gives its peers so long to tell of a newer configuration than the source
-# holds, which may be an older copy.
+# How long a started instance waits for peers that have a newer configuration than the source, which
+# may be an outdated copy.
 PEERS_FIRST_SECONDS = 0.25
 MILLISECONDS = 1000.0
 
 
 class RelayEntry:
-    """One instance that relays."""
+    """A relaying instance."""
 
     def __init__(self, reactor: Any, settings: RelaySettings, log_fd: int | None = None) -> None:
         self.reactor = reactor
@@ -90,20 +85,20 @@
         self.boot = secrets.randbits(48)
         self.rng = random.Random(self.boot)
         self._stopping_at: float | None = None
-        self._made_at = steady_now()
-        self._make_beliefs()
+        self._created_at = steady_now()
+        self._make_state()
         self._make_gossip()
         self._make_serving()
         self._make_controllers()
 
-    def _make_beliefs(self) -> None:
+    def _make_state(self) -> None:
         settings = self.settings
         self.log = EventLog(settings.instance, steady_now, wall_now, self._log_fd)
         self.metrics = Metrics(settings.instance, settings.data_center)
         self.metrics.started.set({}, wall_now())
-        without = frozenset(settings.without)
-        self.policy = RelayPolicy(PlacementPolicy(settings.placement), without)
-        self.table = UpstreamTable(settings.data_center, without)
+        disabled = frozenset(settings.without)
+        self.policy = RelayPolicy(PlacementPolicy(settings.placement), disabled)
+        self.table = UpstreamTable(settings.data_center, disabled)
         self.http = HttpClient(self.reactor, CONNECT_SECONDS, idle_seconds=IDLE_SECONDS)
         self.publication = Publication(
             PlatformDecoder(),
@@ -111,7 +106,7 @@
             lambda change: self.publication_handler.apply_list(change),
             lambda kind, key, reason: self.publication_handler.log_rejected(kind, key, reason),
             lambda report: self.publication_handler.log_report(report),
-            prefer_peers_until=self._made_at + PEERS_FIRST_SECONDS
+            prefer_peers_until=self._created_at + PEERS_FIRST_SECONDS
             if settings.peers.names_others
             else 0.0,
         )
@@ -134,7 +129,7 @@
             is_settled=self.knows_peers,
         )
         self.document_server = WebServer(self.reactor)
-        self.document_server.route(PIECES_PATH, lambda *asked: self.lazy.documents.handle(*asked))
+        self.document_server.route(PIECES_PATH, lambda *call: self.lazy.documents.handle(*call))
 
     def _make_serving(self) -> None:
         settings = self.settings
@@ -145,13 +140,13 @@
             self.rng,
             self.gossip.send_soon,
             policy,
-            self._sharers,
+            self._instance_count,
             self.gossip.count_reporting_peers,
             self.knows_peers,
             self.gossip.broadcast_long_prefills,
             lambda state: self.gossip.limits.issuer.has_spare(state),
         )
-        turns = Dispatcher(
+        dispatcher = Dispatcher(
             self.gossip.calendar,
             steady_now,
             self.rng,
@@ -159,7 +154,7 @@
             self.knows_peers,
             policy,
         )
-        prefix = f"{settings.instance}-{self.boot:x}"
+        lease_prefix = f"{settings.instance}-{self.boot:x}"
         self.notice_handler = NoticeHandler(
             self.table,
             lambda: self.publication.list_at,
@@ -185,17 +180,17 @@
             self.crash_guard,
             self.metrics,
             self.log,
-            prefix,
+            lease_prefix,
         )
         dialect = PlatformDialect()
-        guards = SendChecks(
+        checks = SendChecks(
             self.admission_state, self.crash_guard, lambda: self.gossip.limits.issuer, steady_now
         )
-        placing = Placer(
+        placer = Placer(
             planner=planner,
-            turns=turns,
+            turns=dispatcher,
             leases=lambda: self.lazy.leases,
-            send_checks=guards,
+            send_checks=checks,
             table=self.table,
             permits=lambda: self.lazy.permits,
             clock=steady_now,
@@ -205,17 +200,17 @@
             dialect=dialect,
             runner=AttemptRunner(self.http, dialect, steady_now),
             planner=planner,
-            placer=placing,
+            placer=placer,
             table=self.table,
             leases=lambda: self.lazy.leases,
             policy=policy,
             reports=lambda: self.lazy.reports,
             notice_handler=self.notice_handler,
-            send_checks=guards,
+            send_checks=checks,
             crash_guard=self.crash_guard,
             identity_key=make_key(settings.identity_key),
             admission_state=self.admission_state,
-            instance_count=self._sharers,
+            instance_count=self._instance_count,
             retry_bounds=self._retry_bounds,
             log=self.log,
             metrics=self.metrics,
@@ -240,7 +235,7 @@
         self.ready_server.route(READY_PATH, self._show_ready)
         self.metrics_server = WebServer(self.reactor)
         for path in OPERATOR_PATHS:
-            self.metrics_server.route(path, lambda *asked: self.lazy.operator_api.handle(*asked))
+            self.metrics_server.route(path, lambda *call: self.lazy.operator_api.handle(*call))
 
     def _make_controllers(self) -> None:
         monitor = SourceMonitor(
@@ -256,7 +251,7 @@
             steady_now,
             self.rng,
             scale=lambda: renewal_scale(self.settings.limits),
-            # Peers that start try the seeds first.
+            # Starting peers contact the seeds first, so seeds read the source without delay.
             delay_start=self.gossip.address.host not in self.gossip.peer_hosts.seeds,
             monitor=monitor,
         )
@@ -276,22 +271,22 @@
                 lambda: self.publication_handler.log_freshness(self.admission_state()),
                 lambda: self.handler.open_requests,
                 lambda: len(self.gossip.peer_table.alive(steady_now())),
-                self._step,
+                self._maintain,
             ),
         )
 
-    def _step(self) -> None:
-        """What is kept for a while only is dropped."""
+    def _maintain(self) -> None:
+        """Record ended lives and expire old state."""
         self.crash_guard.step(steady_now())
         self.lazy.expire()
 
-    def _sharers(self) -> int:
-        """Instances that share the bounds of the whole system; silent ones may be alive."""
+    def _instance_count(self) -> int:
+        """Count the instances that share system-wide limits; silent peers may be alive."""
         return 1 + len(self.gossip.hosts)
 
     def knows_peers(self) -> bool:
-        """Whether peers had the time to tell what they have placed."""
-        settled = steady_now() - self._made_at >= SETTLE_SECONDS
+        """Whether peers had the time to report their placements."""
+        settled = steady_now() - self._created_at >= SETTLE_SECONDS
         return settled or not self.policy.has(Mechanism.SETTLING)
 
     def _retry_bounds(self) -> RetryBounds:
@@ -299,50 +294,46 @@
         return RetryBounds(limits.retry_ratio, limits.retry_allowance, limits.retry_window_seconds)
 
     def admission_state(self) -> AdmissionState:
-        """What requests are admitted by now."""
+        """The state by which requests are admitted now."""
         limits = self.settings.limits
-        bound = limits.key_ms / MILLISECONDS - KEY_MARGIN_SECONDS
+        max_age = limits.key_ms / MILLISECONDS - KEY_MARGIN_SECONDS
         return AdmissionState(
             self.publication.configuration,
             self.publication.proof,
-            bound if limits.keys_need_proof else None,
+            max_age if limits.keys_need_proof else None,
             self.gossip.has_live_peers,
             self.publication.behind_seconds(steady_now()),
-            limits.configuration_ms / MILLISECONDS - NOTICE_SECONDS,
+            limits.configuration_ms / MILLISECONDS - CHANGE_BROADCAST_SECONDS,
         )
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer should send connections."""
+        """Whether the load balancer should send connections."""
         if self.caller_server.stopping or not self.table.by_id:
             return False
         publication = self.publication
-        beliefs = self.admission_state()
-        if beliefs.behind_seconds >= beliefs.max_behind_seconds:
+        state = self.admission_state()
+        if state.behind_seconds >= state.max_behind_seconds:
             return False
-        bound = beliefs.max_proof_age
-        if bound is None:
+        max_age = state.max_proof_age
+        if max_age is None:
             return publication.configuration is not None
-        return is_fresh(publication.proof, publication.in_force, steady_now(), bound)
+        return is_fresh(publication.proof, publication.in_force, steady_now(), max_age)
 
     async def start(self) -> Endpoint:
-        """Listen, then learn what is published."""
+        """Listen, then start to read and exchange published values."""
         settings = self.settings
         self.log.open()
         self.log.write(
-            Started(
-                data_center=settings.data_center,
-                boot=self.boot,
-                version=pondpin.__version__,
-            )
+            Started(data_center=settings.data_center, boot=self.boot, version=pondpin.__version__)
         )
         documents = parse_endpoint(settings.peers.documents)
         self.document_server.listen(self.reactor, documents)
         self.gossip.listen()
         self.ready_server.listen(self.reactor, parse_endpoint(settings.ready))
         if settings.metrics_port:
-            place = Endpoint(documents.host, settings.metrics_port)
-            self.metrics_server.listen(self.reactor, place)
+            endpoint = Endpoint(documents.host, settings.metrics_port)
+            self.metrics_server.listen(self.reactor, endpoint)
         bound = self.caller_server.listen(self.reactor, parse_endpoint(settings.callers))
         asyncio.get_running_loop().call_later(
             PEERS_FIRST_SECONDS, lambda: self.publication.apply_pending(steady_now())
@@ -353,33 +344,33 @@
         return bound
 
     async def drain_and_stop(self) -> None:
-        """A planned stop: not ready at once; what is open runs on until the grace period ends."""
-        began = steady_now()
-        self._stopping_at = began
+        """Become unready at once, drain open requests for the grace period, then stop."""
+        began_at = steady_now()
+        self._stopping_at = began_at
         self.caller_server.stopping = True
         self.gossip.is_stopping = True
         self.gossip.send_soon()
         grace = self.settings.limits.grace_seconds
         self.log.write(Stopping(open_requests=self.handler.open_requests, grace=grace))
-        while steady_now() - began < grace - STOP_MARGIN_SECONDS:
-            out = self._refuses_new(steady_now())
-            if out:
+        while steady_now() - began_at < grace - STOP_MARGIN_SECONDS:
+            refuses = self._refuses_new(steady_now())
+            if refuses:
                 self.caller_server.close_idle()
-            if out and not self.handler.open_requests and not len(self.caller_server.channels):
+            if refuses and not self.handler.open_requests and not len(self.caller_server.channels):
                 break
             await asyncio.sleep(DRAIN_POLL_SECONDS)
         await self.stop()
 
     def _refuses_new(self, now: float) -> bool:
-        """Whether a request that arrives now might not end before the process does."""
-        return self._stopping_at is not None and now - self._stopping_at >= BALANCER_SECONDS
+        """Whether a new request is refused, as it may outlast the process."""
+        return self._stopping_at is not None and now - self._stopping_at >= BALANCER_REMOVAL_SECONDS
 
     @property
     def _servers(self) -> tuple[WebServer, ...]:
         return (self.caller_server, self.ready_server, self.metrics_server, self.document_server)
 
     async def stop(self) -> None:
-        """Close everything now."""
+        """Stop the controllers, close the servers and cancel open requests."""
         self.log.write(Stopped(open_requests=self.handler.open_requests))
         for controller in self.controllers:
             await controller.stop()
@@ -393,7 +384,7 @@
         self.log.flush()
 
     def reload(self, settings: RelaySettings) -> None:
-        """Take what may change while running: limits and seeds."""
+        """Apply the settings that may change at run time: limits and seeds."""
         self.settings = settings
         self.gossip.peer_hosts.seeds = tuple(
             parse_endpoint(item).host for item in settings.peers.known
@@ -401,7 +392,7 @@
         self.log.write(Reloaded(outcome="taken"))
 
     def refuse_reload(self, reason: str) -> None:
-        """The settings file is faulty: the ones in force stay."""
+        """Log an invalid settings file; the settings in force stay."""
         self.log.write(Reloaded(outcome="refused", reason=reason))
 
     async def _show_ready(self, incoming: Incoming, reply: Reply) -> None:
--- a/pondpin/relay/housekeeping.py
+++ b/pondpin/relay/housekeeping.py
@@ -1,4 +1,4 @@
-"""What an instance does for itself at intervals."""
+"""Periodic maintenance of an instance."""
 
 from collections.abc import Callable
 
@@ -9,7 +9,7 @@
 
 
 class HousekeepingController(Controller):
-    """Writes the log out and keeps the gauges."""
+    """Flushes the log, updates gauges, and records and expires state of upstreams."""
 
     period = PERIOD_SECONDS
 
@@ -17,23 +17,23 @@
         self,
         log: EventLog,
         metrics: Metrics,
-        note_freshness: Callable[[], None],
+        log_freshness: Callable[[], None],
         open_requests: Callable[[], int],
         peers_alive: Callable[[], int],
-        watch_ends: Callable[[], None],
+        maintain: Callable[[], None],
     ) -> None:
         super().__init__()
         self._log = log
         self._metrics = metrics
-        self._note_freshness = note_freshness
+        self._log_freshness = log_freshness
         self._open_requests = open_requests
         self._peers_alive = peers_alive
-        self._watch_ends = watch_ends
+        self._maintain = maintain
 
     async def step(self) -> None:
-        """One round."""
-        self._note_freshness()
-        self._watch_ends()
+        """Run one round of maintenance."""
+        self._log_freshness()
+        self._maintain()
         self._log.flush()
         self._metrics.open_requests.set({}, self._open_requests())
         self._metrics.peers_alive.set({}, self._peers_alive())
--- a/pondpin/relay/lazy_components.py
+++ b/pondpin/relay/lazy_components.py
@@ -1,7 +1,7 @@
-"""Parts of an instance that are loaded where they are first needed.
+"""Components of an instance whose code is loaded at their first use.
 
-A start is mostly the loading of code. Many instances never lease memory, ask a silent engine, or
-meet an upstream that is ejected or names a limit.
+Loading code takes most of a start. Many instances never lease memory, query a silent engine, or
+have an ejected or rate-limited upstream.
 """
 
 from functools import cached_property
@@ -54,29 +54,29 @@
 
 
 class LazyComponents:
-    """Each part is made once, when it is asked for."""
+    """Creates each component once, at its first use."""
 
     def __init__(
         self,
         http: HttpClient,
         gossip: Gossip,
-        hearing: NoticeHandler,
-        guard: CrashGuard,
+        notice_handler: NoticeHandler,
+        crash_guard: CrashGuard,
         metrics: Metrics,
         log: EventLog,
         lease_prefix: str,
     ) -> None:
         self._http = http
         self._gossip = gossip
-        self._hearing = hearing
-        self._guard = guard
+        self._notice_handler = notice_handler
+        self._crash_guard = crash_guard
         self._metrics = metrics
         self._log = log
         self._lease_prefix = lease_prefix
 
     @cached_property
     def leases(self) -> "LeaseManager":
-        """Memory of engines for prompts that lie on several."""
+        """Memory leases for prompts that are split over several engines."""
         from pondpin.platform.orders import PlatformLeases
         from pondpin.relay.upstreams.leases import LeaseManager
 
@@ -85,26 +85,26 @@
             self._lease_prefix,
             self._log,
             self._gossip.table.has_ended,
-            self._hearing.handle_head,
+            self._notice_handler.handle_head,
             self._gossip.record_life_sent,
         )
 
     @cached_property
     def documents(self) -> "DocumentServer":
-        """What is published, for peers that ask: one that starts among others is not asked soon."""
+        """Serves published documents to peers, which don't ask an instance that just started."""
         from pondpin.relay.published.document_server import DocumentServer
 
         return DocumentServer(self._gossip.publication, steady_now)
 
     @cached_property
     def reports(self) -> "ReportClient":
-        """Reports of silent engines."""
+        """Status queries to silent engines."""
         from pondpin.platform.reports import PlatformReports
         from pondpin.relay.upstreams.reports import ReportClient
 
-        hear, note_sent = self._hearing.handle_head, self._gossip.record_sent
+        on_head, on_sent = self._notice_handler.handle_head, self._gossip.record_sent
         port = PlatformReports(self._http)
-        return ReportClient(port, self._log, steady_now, hear, note_sent)
+        return ReportClient(port, self._log, steady_now, on_head, on_sent)
 
     @cached_property
     def prober(self) -> "Prober":
@@ -115,7 +115,7 @@
         return Prober(
             self._gossip.table,
             PlatformLiveness(self._http),
-            self._hearing.handle_head,
+            self._notice_handler.handle_head,
             self._log,
             steady_now,
             self._gossip.record_sent,
@@ -123,36 +123,36 @@
 
     @cached_property
     def permits(self) -> "PermitAcquirer":
-        """Permits of limited upstreams."""
+        """Permits of rate-limited upstreams."""
         from pondpin.relay.attempts.permit_acquirer import PermitAcquirer
 
         return PermitAcquirer(self._gossip.limits.permits, self._metrics, steady_now)
 
     @cached_property
     def operator_api(self) -> "OperatorApi":
-        """What operators ask at the metrics address."""
+        """The operators' API at the metrics address."""
         from pondpin.relay.operator_api import OperatorApi
 
         return OperatorApi(
             self._gossip.table,
             self._gossip.publication,
             self._metrics,
-            self._guard,
+            self._crash_guard,
             lambda: self._gossip.limits.issuer,
             steady_now,
         )
 
     def upstreams_due_for_recheck(self) -> list[UpstreamState]:
-        """Those that take nothing at all, and are to be asked now whether they still do."""
+        """Upstreams with a limit of 0 that are due for a recheck."""
         table = self._gossip.table
         return self._gossip.limits.issuer.due_for_recheck() if table.standings.names_limits else []
 
     def expire(self) -> None:
-        """What is kept for a while only is dropped."""
+        """Drop the state of upstreams that have no limit any more."""
         if self._gossip.table.standings.names_limits:
             self._gossip.limits.issuer.expire()
 
     async def wait_released(self) -> None:
-        """Wait until what is being given back is back or lapses."""
+        """Wait until leases that are being released are released or lapse."""
         if "leases" in self.__dict__:
             await self.leases.wait_released()
--- a/pondpin/relay/limit_events.py
+++ b/pondpin/relay/limit_events.py
@@ -1,13 +1,13 @@
-"""Lines of the structured log on limits of upstreams, and on words of theirs that nobody reads."""
+"""Log events on rate limits of upstreams and on their unknown headers."""
 
 from pondpin.relay.log_events import LogEvent
 
 
 class UpstreamLimit(LogEvent, frozen=True, kw_only=True, tag="upstream_limit"):
-    """An upstream named a limit for all instances together, another one, or none any more.
+    """An upstream announced, changed or removed its limit for all instances together.
 
-    limit and before: requests a second, -1 where there is none. source: "its answer" or the peer
-    that told of it; answer: what it answered to. odd: a value that can't be understood.
+    limit and before: requests a second, -1 for none. source: "its answer" or the peer that reported
+    it. answer: the kind of request that it answered. odd: an invalid value.
     """
 
     upstream: str
@@ -20,10 +20,10 @@
 
 
 class PermitOwnerChanged(LogEvent, frozen=True, kw_only=True, tag="permits_home"):
-    """Which instance hands out the permits of a limited upstream, as known here, "" for none.
+    """The instance that issues the permits of a limited upstream changed; "" for none.
 
-    share: the part of the limit that it may hand out, by the instances of its data centre that are
-    heard and those that fell silent.
+    share: the part of the limit that it may issue, by the live and the silent instances of its data
+    centre.
     """
 
     upstream: str
@@ -33,7 +33,7 @@
 
 
 class UnknownUpstreamHeader(LogEvent, frozen=True, kw_only=True, tag="unknown_word"):
-    """An upstream says something of itself that nothing here reads; once for a life and name."""
+    """An upstream sent an unknown header about itself; logged once for a life and name."""
 
     upstream: str
     life: str
--- a/pondpin/relay/log.py
+++ b/pondpin/relay/log.py
@@ -1,4 +1,4 @@
-"""The structured log on standard output: bounded in lines, and never waited for."""
+"""The structured log on standard output: bounded and non-blocking."""
 
 import os
 from collections import deque
@@ -8,16 +8,16 @@
 from pondpin.clocks import Clock, WallClock
 from pondpin.relay.log_events import ROUTINE_EVENTS, LinesDropped, LogEvent
 
-# Lines kept for one second; refusals, errors and beliefs may use the reserve too.
+# Lines a second. The reserve is for all events that aren't routine, such as refusals and errors.
 ROUTINE_PER_SECOND = 300
 RESERVE_PER_SECOND = 200
-QUEUE_LINES = 2000
-# Bytes kept for a reader that is slow.
-REST_BYTES = 1 << 20
+MAX_QUEUED_LINES = 2000
+# Bytes kept when the reader of the pipe is slow.
+MAX_UNWRITTEN_BYTES = 1 << 20
 
 
 class EventLog:
-    """Encodes lines at once and writes them in batches to a descriptor that does not block."""
+    """Encodes events at once and writes them in batches to a non-blocking descriptor."""
 
     def __init__(self, instance: str, clock: Clock, wall_clock: WallClock, fd: int) -> None:
         self._instance = instance
@@ -25,7 +25,7 @@
         self._wall_clock = wall_clock
         self._fd = fd
         self._queue: deque[bytes] = deque()
-        self._rest = b""
+        self._unwritten = b""
         self._second = 0
         self._lines = 0
         self._dropped_routine = 0
@@ -33,13 +33,13 @@
         self.dropped = 0
 
     def open(self) -> None:
-        """Make sure that writing never waits."""
+        """Make the descriptor non-blocking."""
         os.set_blocking(self._fd, False)
 
     def write(self, event: LogEvent) -> None:
-        """Add a line, unless this second has had enough of its kind."""
+        """Queue an event, or drop it when the rate limit of its kind or the queue is exhausted."""
         routine = isinstance(event, ROUTINE_EVENTS)
-        self._turn_second()
+        self._start_second()
         limit = ROUTINE_PER_SECOND if routine else ROUTINE_PER_SECOND + RESERVE_PER_SECOND
         if self._lines >= limit or self._is_full():
             self._count_dropped(routine)
@@ -48,7 +48,7 @@
         self._queue.append(self._encode(event))
 
     def _is_full(self) -> bool:
-        return len(self._queue) >= QUEUE_LINES or len(self._rest) >= REST_BYTES
+        return len(self._queue) >= MAX_QUEUED_LINES or len(self._unwritten) >= MAX_UNWRITTEN_BYTES
 
     def _count_dropped(self, routine: bool) -> None:
         self.dropped += 1
@@ -58,11 +58,11 @@
             self._dropped_important += 1
 
     def _encode(self, event: LogEvent) -> bytes:
-        head = {"time": round(self._wall_clock(), 3), "steady": round(self._clock(), 3)}
-        start = msgspec.json.encode(head | {"instance": self._instance})
-        return start[:-1] + b"," + msgspec.json.encode(event)[1:] + b"\n"
+        times = {"time": round(self._wall_clock(), 3), "steady": round(self._clock(), 3)}
+        head = msgspec.json.encode(times | {"instance": self._instance})
+        return head[:-1] + b"," + msgspec.json.encode(event)[1:] + b"\n"
 
-    def _turn_second(self) -> None:
+    def _start_second(self) -> None:
         second = int(self._clock())
         if second == self._second:
             return
@@ -74,8 +74,8 @@
             self._queue.append(self._encode(line))
 
     def flush(self) -> None:
-        """Write what fits; the rest waits for the next call, up to the bound of the queue."""
-        data = self._rest + b"".join(self._queue)
+        """Write what fits and keep the rest for the next call."""
+        data = self._unwritten + b"".join(self._queue)
         self._queue.clear()
         if not data:
             return
@@ -84,7 +84,7 @@
         except BlockingIOError:
             written = 0
         except OSError:
-            # Nobody reads the log any more; serving goes on without it.
+            # The reader closed the pipe; the instance serves on without a log.
             self.dropped += data.count(b"\n")
             written = len(data)
-        self._rest = data[written:]
+        self._unwritten = data[written:]
--- a/pondpin/relay/log_events.py
+++ b/pondpin/relay/log_events.py
@@ -1,17 +1,17 @@
-"""The lines of the structured log: one type for each decision or change of belief.
+"""The events of the structured log: decisions and state changes.
 
-Ages are in seconds unless a name says ms. No event carries a key, a body or a prompt.
+Times are in seconds unless a name says ms. No event holds an API key, a body or a prompt.
 """
 
 import msgspec
 
 
 class LogEvent(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True, tag_field="event"):
-    """Base of all lines."""
+    """Base of all events."""
 
 
 class Started(LogEvent, frozen=True, kw_only=True, tag="started"):
-    """The process is up; as on each line, `instance` names it."""
+    """The process started."""
 
     data_center: str
     boot: int
@@ -19,27 +19,27 @@
 
 
 class Stopping(LogEvent, frozen=True, kw_only=True, tag="stopping"):
-    """A planned stop began."""
+    """A graceful stop began."""
 
     open_requests: int
     grace: float
 
 
 class Stopped(LogEvent, frozen=True, kw_only=True, tag="stopped"):
-    """The process ends."""
+    """The process is ending."""
 
     open_requests: int
 
 
 class Reloaded(LogEvent, frozen=True, kw_only=True, tag="reloaded"):
-    """Settings were read again."""
+    """The settings file was read again."""
 
     outcome: str
     reason: str = ""
 
 
 class SourceChanged(LogEvent, frozen=True, kw_only=True, tag="source"):
-    """The published source answers again, or stopped answering."""
+    """The published source stopped answering, or answers again."""
 
     answers: bool
     reason: str
@@ -47,7 +47,7 @@
 
 
 class PeersChanged(LogEvent, frozen=True, kw_only=True, tag="peers"):
-    """Peers that are heard since the last such line, and peers that were lost."""
+    """Peers that became live, and peers that were lost, since the last such event."""
 
     heard: tuple[str, ...]
     lost: tuple[str, ...]
@@ -55,14 +55,14 @@
 
 
 class DataCenterChanged(LogEvent, frozen=True, kw_only=True, tag="data_center"):
-    """All peers of a data centre fell silent, or one is heard again."""
+    """All peers of a data centre became silent, or one became live again."""
 
     data_center: str
     silent: bool
 
 
 class FetchFailed(LogEvent, frozen=True, kw_only=True, tag="fetch_failed"):
-    """A peer could not be told or asked something."""
+    """A call to a peer failed."""
 
     peer: str
     reason: str
@@ -70,7 +70,7 @@
 
 
 class Fetched(LogEvent, frozen=True, kw_only=True, tag="fetched"):
-    """A document came from a peer; bytes as they crossed the network."""
+    """A document was fetched from a peer; bytes: its size on the network."""
 
     peer: str
     document: str
@@ -81,7 +81,7 @@
 
 
 class ConfigurationBehind(LogEvent, frozen=True, kw_only=True, tag="behind"):
-    """A peer told of a newer configuration than the one in force here."""
+    """A peer announced a newer configuration than the one in force here."""
 
     peer: str
     version: int
@@ -91,9 +91,9 @@
 
 
 class SourceRead(LogEvent, frozen=True, kw_only=True, tag="source_read"):
-    """A read of the published values brought something new, or was slow; bytes of the values.
+    """A read of the published values found something new, or was slow; bytes: their size.
 
-    revision: of a configuration that was read; source_revision: of the list.
+    revision: the configuration's, if it was read; source_revision: the list's.
     """
 
     revision: int
@@ -104,9 +104,10 @@
 
 
 class ConfigurationApplied(LogEvent, frozen=True, kw_only=True, tag="configuration"):
-    """A version is in force; behind_ms: since when a peer had told of a newer one, if one had.
+    """A configuration came into force.
 
-    alone: no peer was heard that could have a newer one.
+    behind_ms: the time since a peer announced a newer one, if any did. alone: no peer was seen that
+    could have a newer one.
     """
 
     version: int
@@ -119,25 +120,25 @@
 
 
 class PublishedRejected(LogEvent, frozen=True, kw_only=True, tag="published_refused"):
-    """A published value is unsound; the last good one stays in force."""
+    """A published value is invalid; the last valid one stays in force."""
 
     key: str
     reason: str
 
 
 class UpstreamLeaving(LogEvent, frozen=True, kw_only=True, tag="upstream_leaving"):
-    """An upstream gets no new work."""
+    """An upstream gets no new requests."""
 
     upstream: str
     source: str
 
 
 class UpstreamNotice(LogEvent, frozen=True, kw_only=True, tag="upstream_notice"):
-    """An answer said that its upstream leaves, for the first time, or that it wants rest.
+    """An upstream announced its shutdown, for the first time, or asked for a rest.
 
-    answer: what it answered to. life: its number among instances. list_says: what the list of
-    upstreams said of it then, and list_age how old that was, -1 where it was never read. rest:
-    seconds asked, and until when by the steady clock; odd: a wish that can't be understood.
+    answer: the kind of request that it answered. life: its number, the same at every instance.
+    list_says, list_age: its state in the list of upstreams, and the list's age, -1 if it was never
+    read. rest: seconds asked for; until: their end by the monotonic clock; odd: an invalid value.
     """
 
     upstream: str
@@ -153,14 +154,14 @@
 
 
 class UpstreamRestarted(LogEvent, frozen=True, kw_only=True, tag="upstream_restarted"):
-    """A later life of an upstream is listed; nothing known of the earlier one counts for it."""
+    """A later life of an upstream is listed; the state of the earlier one was discarded."""
 
     upstream: str
     born: int | None
 
 
 class UpstreamEjected(LogEvent, frozen=True, kw_only=True, tag="upstream_ejected"):
-    """An upstream failed too often and is left alone for a while."""
+    """An upstream failed too often and was ejected."""
 
     upstream: str
     reason: str
@@ -168,13 +169,13 @@
 
 
 class UpstreamRestored(LogEvent, frozen=True, kw_only=True, tag="upstream_back"):
-    """An ejected upstream answered its liveness check."""
+    """An ejected upstream passed its liveness check."""
 
     upstream: str
 
 
 class FreshnessChanged(LogEvent, frozen=True, kw_only=True, tag="freshness"):
-    """Whether the version in force is proved young enough to accept keys."""
+    """The version in force became proved recently enough to accept API keys, or too old."""
 
     fresh: bool
     age: float
@@ -182,7 +183,7 @@
 
 
 class Placed(LogEvent, frozen=True, kw_only=True, tag="placed"):
-    """An attempt goes to an upstream."""
+    """An attempt was placed on an upstream."""
 
     request: str
     attempt: int
@@ -205,14 +206,14 @@
     leases: int = 0
     resume_after: str = ""
     identity: str = ""
-    # Why nothing should go there; never seen but where a guard of the send fails.
+    # Why the upstream should get no requests; set only when a send check failed to stop the send.
     bar: str = ""
-    # Requests a second that it takes from all instances, by its last word; -1 where it named none.
+    # The upstream's last limit for all instances, in requests a second; -1 for none.
     limit: float = -1.0
 
 
 class AttemptEnded(LogEvent, frozen=True, kw_only=True, tag="attempt_ended"):
-    """An attempt did not bring the whole answer."""
+    """An attempt ended without a complete response."""
 
     request: str
     attempt: int
@@ -226,7 +227,7 @@
 
 
 class Refused(LogEvent, frozen=True, kw_only=True, tag="refused"):
-    """A request was refused before it went to any upstream, or after all said no."""
+    """A request was refused before it was sent, or after all upstreams refused it."""
 
     request: str
     code: str
@@ -241,7 +242,7 @@
 
 
 class Ended(LogEvent, frozen=True, kw_only=True, tag="ended"):
-    """A request got its final answer."""
+    """A request got its final response."""
 
     request: str
     route: str
@@ -259,7 +260,7 @@
 
 
 class CallerDisconnected(LogEvent, frozen=True, kw_only=True, tag="caller_gone"):
-    """The caller closed its connection before the end."""
+    """The caller closed its connection before the response ended."""
 
     request: str
     route: str
@@ -270,10 +271,10 @@
 
 
 class UpstreamEnded(LogEvent, frozen=True, kw_only=True, tag="upstream_ended"):
-    """A request broke off at an upstream or left it, and what a connection there then met.
+    """A request broke off at an upstream or left it; answer: the result of connecting there then.
 
-    ran: identities of this instance's requests that were there, each with ms since it was sent and
-    whether it may have just begun to run.
+    ran: identities of this instance's requests on the upstream, each with the ms since it was sent
+    and whether it may have just started.
     """
 
     upstream: str
@@ -283,9 +284,9 @@
 
 
 class VerdictChanged(LogEvent, frozen=True, kw_only=True, tag="verdict"):
-    """A request is suspected, quarantined or free; with the ended lives that speak against it.
+    """A request became suspected, quarantined or free.
 
-    seconds: until its quarantine is over.
+    ends: the ended lives that count against it. seconds: the rest of its quarantine.
     """
 
     identity: str
@@ -295,7 +296,7 @@
 
 
 class UpstreamQueried(LogEvent, frozen=True, kw_only=True, tag="upstream_asked"):
-    """A silent engine was asked for its report."""
+    """A status query was sent to a silent engine."""
 
     upstream: str
     answers: bool
@@ -305,7 +306,7 @@
 
 
 class LeaseFailed(LogEvent, frozen=True, kw_only=True, tag="leases"):
-    """Memory leases of a request were refused or could not be given back."""
+    """Memory leases of a request were refused or could not be released."""
 
     request: str
     outcome: str
@@ -313,7 +314,7 @@
 
 
 class LinesDropped(LogEvent, frozen=True, kw_only=True, tag="lines_dropped"):
-    """Lines that were left out in the last second, by the bound or a full pipe."""
+    """Lines that were dropped in the last second, by the rate limit or a full queue."""
 
     routine: int
     important: int
--- a/pondpin/relay/mechanisms.py
+++ b/pondpin/relay/mechanisms.py
@@ -1,10 +1,10 @@
-"""The mechanisms of placement and recovery, each of which can be switched off to be measured."""
+"""The mechanisms of placement and recovery; a setting disables each of them for measurements."""
 
 import enum
 
 
 class Mechanism(enum.StrEnum):
-    """A mechanism by the name that the setting `without` uses."""
+    """The names that the setting `without` uses."""
 
     PARTS = "parts"
     LEASES = "leases"
--- a/pondpin/relay/model.py
+++ b/pondpin/relay/model.py
@@ -1,6 +1,6 @@
-"""What the relay knows of its deployment: routes, services, accounts and upstreams.
+"""Data model of the relay: routes, services, accounts, upstreams, requests and responses.
 
-All times are in seconds, all sizes of prompts and memory in tokens.
+Times are in seconds, sizes of prompts and memory in tokens.
 """
 
 import enum
@@ -15,7 +15,7 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be done with a request of a route."""
+    """The kind of a route's requests: safe to repeat, unsafe to repeat, or a stream."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceShare:
-    """A service and its share of a route's requests."""
+    """A service and its weight in a route's traffic split."""
 
     service: str
     weight: float
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where the requests of a host and path prefix go, and within which bounds."""
+    """The services and limits of the requests to a host and path prefix."""
 
     name: str
     host: str
@@ -55,13 +55,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineProfile:
-    """How a model engine spends its time; published with its service.
+    """The performance of a model engine, as published with its service.
 
-    step: seconds of a token step; per_writer and per_context_k: seconds added to it by each
-    writing request and by each thousand tokens of their contexts; read_rate: prompt tokens
-    read a second; pair_cost: seconds for each pair of a token and one before it; chunk: most
-    tokens read in a step; stride: steps of a pass that has writers; hop: seconds a step takes
-    longer while a prompt lies on several engines.
+    step_seconds: of a decode step; step_per_stream and step_per_context_k: seconds added to it by
+    each decode stream and by each 1000 tokens of their contexts; prefill_rate: prompt tokens a
+    second; pair_cost: seconds for each pair of a token and an earlier one; chunk_tokens: most that
+    a step prefills; stride: steps of a pass that has decode streams; hop_seconds: added to a step
+    while a prompt is split over several engines.
     """
 
     slots: int
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A group of like upstreams; engine is None for a plain service."""
+    """A group of equivalent upstreams; engine is None for a service without model engines."""
 
     name: str
     health_path: str
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerBounds:
-    """Bounds on what callers send: bytes and seconds."""
+    """Limits on callers' requests and connections."""
 
     header_bytes: int = 16384
     body_bytes: int = 4 << 20
@@ -106,9 +106,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayConfiguration:
-    """One published version, decoded; routes of a host are sorted by falling prefix length.
+    """A decoded version of the configuration; a host's routes have the longest prefix first.
 
-    shortest_gap_by_service: the strictest target of pauses of each service's streams, in seconds.
+    shortest_gap_by_service: the strictest gap target of each service's streams.
     """
 
     version: int
@@ -119,23 +119,23 @@
     shortest_gap_by_service: Mapping[str, float] = field(init=False)
 
     def __post_init__(self) -> None:
-        """Work out what placement needs of all routes together."""
+        """Compute the strictest gap targets once; placement needs them."""
         gaps: dict[str, float] = {}
         for route in itertools.chain.from_iterable(self.routes_by_host.values()):
             if route.gap_target > 0:
                 for share in route.shares:
-                    known = gaps.get(share.service, route.gap_target)
-                    gaps[share.service] = min(known, route.gap_target)
+                    strictest = gaps.get(share.service, route.gap_target)
+                    gaps[share.service] = min(strictest, route.gap_target)
         object.__setattr__(self, "shortest_gap_by_service", gaps)
 
 
 @dataclass(frozen=True, slots=True)
 class ListedUpstream:
-    """An upstream as the published list has it.
+    """An entry of the published list of upstreams.
 
-    Its id and its start stand for one life of it: one that starts again may keep its id. born is
-    the start in ms of Unix time, None where the upstream doesn't say it; such a one has a new id in
-    each life. release is the version of its software.
+    The id and the start time identify one life of an upstream, which may keep its id over a
+    restart. born: the start in ms of Unix time, None for an upstream that doesn't report it and has
+    a new id in each life. release: the version of its software.
     """
 
     id: str
@@ -147,28 +147,28 @@
     leaving: bool
     born: int | None = None
     release: str = ""
-    # How many entries the upstream had written in this life.
+    # Number of entries that the upstream has written in this life.
     sequence: int = field(default=0, compare=False)
-    # The life's number among instances: 9 bytes of a digest, where an id alone takes 11.
+    # Identifies the life among instances: 9 bytes in a digest, where the id alone takes 11.
     life: int = field(init=False, compare=False)
 
     def __post_init__(self) -> None:
-        """Work out what is asked for at every choice."""
+        """Compute the life's number once; every placement needs it."""
         object.__setattr__(self, "life", life_of(self.id, self.born))
 
     def is_before(self, other: "ListedUpstream") -> bool:
-        """Whether this is an earlier life than another entry of the same id."""
+        """Whether this life is earlier than that of another entry with the same id."""
         return starts_before(self.born, other.born)
 
 
 def life_of(upstream: str, born: int | None) -> int:
-    """A number for one life of an upstream, the same at every instance."""
+    """The number of an upstream's life, the same at every instance."""
     name = upstream if born is None else f"{upstream}@{born}"
     return xxhash.xxh64_intdigest(name.encode())
 
 
 def starts_before(born: int | None, other: int | None) -> bool:
-    """Whether a life starts before another one; one that doesn't say when comes first."""
+    """Whether a life starts before another; one without a start time comes first."""
     if other is None:
         return False
     return born is None or born < other
@@ -176,7 +176,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestMetadata:
-    """What a caller's headers say; deadline is the seconds that it waits, None when not said."""
+    """A caller's headers; timeout is in seconds, None for none."""
 
     attempt_id: str
     host: str
@@ -189,7 +189,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What an upstream says of itself in an answer."""
+    """The load that an upstream reports in a response."""
 
     running: int
     waiting: int
@@ -198,9 +198,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """What a model engine says of itself when it is asked; some hundred ms old.
+    """A model engine's response to a status query; some hundred ms old.
 
-    born is the start of the life that answers, None where it doesn't say.
+    born: the start of the life that answered, None if not reported.
     """
 
     running: int
@@ -210,11 +210,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """The head of an upstream's answer; not_executed is its word that nothing ran.
+    """The head of an upstream's response; not_executed: it states that nothing ran.
 
-    signed: the upstream vouches for the answer. at_fault is where the upstream is that made it
-    fail, when the answer says so; instance is the answering upstream's id where it says it; notice
-    is what it says of itself. unknown_words: names and values of what else it says of itself.
+    signed: it carries the upstream's signature. failed_endpoint: the upstream that it names as the
+    cause of a failure. upstream_id: the responding upstream, if stated. notice: what it announces
+    of itself; unknown_headers: names and values of its other headers about itself.
     """
 
     status: int
--- a/pondpin/relay/operator_api.py
+++ b/pondpin/relay/operator_api.py
@@ -1,4 +1,4 @@
-"""What operators read and do at a relaying instance's metrics address."""
+"""The operators' API at a relaying instance's metrics address."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -23,19 +23,19 @@
 if TYPE_CHECKING:
     from pondpin.relay.peers.permit_issuer import PermitIssuer
 
-# Gives the desk of permits, which is loaded with the first limit of an upstream.
+# Returns the permit issuer, which is loaded with the first limit of an upstream.
 PermitIssuerSource = Callable[[], "PermitIssuer"]
 
 
 class QuarantineLifted(msgspec.Struct, frozen=True):
-    """What lifting a request's quarantine changed: ends that counted and count no more."""
+    """A lifted quarantine; ends: the number of ended lives that no longer count."""
 
     identity: str
     ends: int
 
 
 class HeldRequest(msgspec.Struct, frozen=True):
-    """A request that is held back, as operators see it; seconds until its quarantine is over."""
+    """A suspected or quarantined request; seconds: the rest of its quarantine."""
 
     identity: str
     verdict: str
@@ -44,18 +44,19 @@
 
 
 class HeldRequests(msgspec.Struct, frozen=True):
-    """The requests that are suspected or quarantined."""
+    """All suspected and quarantined requests."""
 
     requests: tuple[HeldRequest, ...]
 
 
 class UpstreamStatus(msgspec.Struct, frozen=True):
-    """Why an upstream gets nothing new, if so, who said it, since when and for how much longer.
+    """Whether an upstream gets requests.
 
     state: "takes requests", "takes some by permit", "leaves", "rests", "comes back bit by bit",
-    "ejected", "waits for its check" or "suspected by a peer"; age and left are in seconds, -1 where
-    there are none. limit: requests a second that it takes from all instances, -1 for no limit;
-    home: the instance that hands out its permits, and share the part of the limit that it may.
+    "ejected", "waits for its check" or "suspected by a peer". source, age and left: what reported
+    the state, and the seconds since and until its end, -1 for unknown. limit: requests a second
+    from all instances, -1 for none; home: the instance that issues its permits; share: its part of
+    the limit.
     """
 
     id: str
@@ -74,11 +75,10 @@
 
 
 class PublishedStatus(msgspec.Struct, frozen=True):
-    """What is in force of the published values; ages are in seconds, -1 where there are none.
+    """The published values in force; ages are in seconds, -1 for none.
 
-    version, epoch and revision: the configuration's, as it was read last. source_epoch: the
-    highest that was heard of; list_epoch: of the list in use. behind: for how long a peer has had a
-    newer configuration.
+    version, epoch, revision: of the configuration. source_epoch: the highest seen; list_epoch: of
+    the list in use. behind: how long a peer has had a newer configuration.
     """
 
     version: int
@@ -93,30 +93,30 @@
 
 
 class UpstreamStatuses(msgspec.Struct, frozen=True):
-    """All listed upstreams."""
+    """The status of all listed upstreams."""
 
     upstreams: tuple[UpstreamStatus, ...]
 
 
 def held_requests(guard: CrashGuard) -> tuple[HeldRequest, ...]:
-    """The requests that are suspected or quarantined."""
+    """List the suspected and quarantined requests."""
     return tuple(
-        HeldRequest(show(identity), judgement.verdict.value, told, seconds)
+        HeldRequest(show(identity), judgement.verdict.value, ends, seconds)
         for identity in guard.quarantine.ends_by_identity
-        for judgement, told, seconds in (guard.records.describe(identity),)
+        for judgement, ends, seconds in (guard.records.describe(identity),)
         if judgement.verdict is not Verdict.FREE
     )
 
 
 def upstream_statuses(
-    states: Iterable[UpstreamState], desk: PermitIssuerSource, now: float
+    states: Iterable[UpstreamState], issuer: PermitIssuerSource, now: float
 ) -> UpstreamStatuses:
-    """Every upstream as it stands."""
-    return UpstreamStatuses(tuple(_show(state, desk, now) for state in states))
+    """Show the status of every upstream."""
+    return UpstreamStatuses(tuple(_status_of(state, issuer, now) for state in states))
 
 
 def published_status(publication: Publication, now: float) -> PublishedStatus:
-    """What is in force, and how old the knowledge is."""
+    """Show the published values in force and their ages."""
     in_force, proof = publication.in_force, publication.proof
     list_at = publication.list_at
     return PublishedStatus(
@@ -132,10 +132,10 @@
     )
 
 
-def _show(state: UpstreamState, desk: PermitIssuerSource, now: float) -> UpstreamStatus:
-    kind, source, age, left = _stands(state, now)
+def _status_of(state: UpstreamState, issuer: PermitIssuerSource, now: float) -> UpstreamStatus:
+    kind, source, age, left = _state_of(state, now)
     listed = state.listed
-    home = desk().owner(state) if state.is_limited else None
+    owner = issuer().owner(state) if state.is_limited else None
     return UpstreamStatus(
         listed.id,
         listed.service,
@@ -148,13 +148,13 @@
         round(left, 2),
         state.own_in_flight,
         told_limit(state.standing.limit),
-        "" if home is None else home.instance,
-        0.0 if home is None else round(home.share, 3),
+        "" if owner is None else owner.instance,
+        0.0 if owner is None else round(owner.share, 3),
     )
 
 
-def _stands(state: UpstreamState, now: float) -> tuple[str, str, float, float]:
-    """The state, its source, its age and what is left of it."""
+def _state_of(state: UpstreamState, now: float) -> tuple[str, str, float, float]:
+    """The state, its source, its age and the seconds until its end."""
     standing, health = state.standing, state.health
     if standing.leaving is not None:
         return "leaves", standing.leaving.source, now - standing.leaving.at, -1.0
@@ -168,19 +168,19 @@
         return "waits for its check", "attempts here", -1.0, -1.0
     if now < state.suspected_until:
         return "suspected by a peer", "a peer", -1.0, state.suspected_until - now
-    return _takes(state, now)
+    return _accepting_state(state, now)
 
 
-def _takes(state: UpstreamState, now: float) -> tuple[str, str, float, float]:
-    word = state.standing.limit
-    if word is None or word.limit is None:
+def _accepting_state(state: UpstreamState, now: float) -> tuple[str, str, float, float]:
+    stated = state.standing.limit
+    if stated is None or stated.limit is None:
         return "takes requests", "", -1.0, -1.0
-    return "takes some by permit", word.source, now - word.heard_at, -1.0
+    return "takes some by permit", stated.source, now - stated.heard_at, -1.0
 
 
 @dataclass
 class OperatorApi:
-    """Answers operators' calls; made with the first of them."""
+    """Handles operators' requests; created at the first one."""
 
     table: UpstreamTable
     publication: Publication
@@ -190,7 +190,7 @@
     clock: Clock
 
     async def handle(self, incoming: Incoming, reply: Reply) -> None:
-        """Answer a call by its path."""
+        """Dispatch a request by its path."""
         if incoming.path.startswith(QUARANTINE_PATH):
             self._show_or_lift(incoming, reply)
         elif incoming.path.startswith(UPSTREAMS_PATH):
@@ -214,9 +214,9 @@
         self.metrics.upstreams_limited.set({}, len(limited))
         for state in limited:
             labels = {"upstream": state.id}
-            desk = self.permit_issuer()
+            issuer = self.permit_issuer()
             self.metrics.upstream_limit.set(labels, told_limit(state.standing.limit))
-            rate = desk.rate(state) if desk.is_owner(state) else 0.0
+            rate = issuer.rate(state) if issuer.is_owner(state) else 0.0
             self.metrics.upstream_permits.set(labels, rate)
 
     def _show_or_lift(self, incoming: Incoming, reply: Reply) -> None:
@@ -229,7 +229,7 @@
         try:
             identity = int(name, 16)
         except ValueError:
-            raise PondpinError(Code.INVALID_FIELD, f"{name!r} is no request's identity") from None
+            raise PondpinError(Code.INVALID_FIELD, f"{name!r} is not a request identity") from None
         reply.send_json(QuarantineLifted(name, self.guard.records.lift(identity)))
 
 
--- a/pondpin/relay/periods.py
+++ b/pondpin/relay/periods.py
@@ -1,5 +1,5 @@
-"""How often an instance does what it does at intervals."""
+"""The common period of an instance's controllers."""
 
-# The steps of all controllers come together, this often or at multiples of it. Two digests fit
-# between a choice that needs peers' loads and the end of a usual pass.
+# All controllers wake up together, at this period or a multiple of it. Two digests fit between a
+# placement that needs peers' loads and the end of a usual engine pass.
 PERIOD_SECONDS = 0.2
--- a/pondpin/relay/ports.py
+++ b/pondpin/relay/ports.py
@@ -1,4 +1,4 @@
-"""What the relay needs of the outside, as small protocols; adapters implement them."""
+"""Protocols that adapters to the platform implement, and their data types."""
 
 import enum
 from collections.abc import Callable, Iterable, Sequence
@@ -14,9 +14,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PartAssignment:
-    """An engine that reads a part of a prompt, with its memory lease if it has one.
+    """An engine that prefills a part of a prompt; life: its life when it was chosen.
 
-    life is that of the engine when it was chosen.
+    lease: its memory lease, "" for none.
     """
 
     upstream: str
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardMetadata:
-    """What pondpin itself tells an upstream beside the caller's request."""
+    """Metadata that pondpin adds to a request to an upstream."""
 
     upstream: str
     account: str
@@ -38,35 +38,34 @@
     parts: tuple[PartAssignment, ...] = ()
 
 
-# Is called with the head of an answer as soon as that has come.
+# Called with the head of a response as soon as it arrives.
 HeadCallback = Callable[[ResponseHead], None]
 
 
 class Dialect(Protocol):
-    """Reads and writes the headers of callers and upstreams."""
+    """Decodes and encodes the headers of callers and upstreams."""
 
     def read_request(self, headers: RawHeaders) -> RequestMetadata:
-        """What a caller's headers say."""
+        """Decode a caller's headers."""
         ...
 
     def forward_headers(
-        self, headers: RawHeaders, sent: ForwardMetadata
+        self, headers: RawHeaders, metadata: ForwardMetadata
     ) -> list[tuple[bytes, bytes]]:
-        """The headers that an upstream gets."""
+        """Build the headers of a request to an upstream."""
         ...
 
     def read_head(self, status: int, headers: Iterable[tuple[bytes, bytes]]) -> ResponseHead:
-        """The head of an upstream's answer."""
+        """Decode the head of an upstream's response."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class SourceHead:
-    """What the head of an answer says of the source.
+    """The headers about the source in a response.
 
-    epoch: under which its revisions count; 0 for a source that names none. odd_epoch: one that
-    can't be understood, as it came. unknown: names and values of headers about the source that
-    nothing reads.
+    epoch: of its revisions; 0 for none. odd_epoch: an invalid value, as received. unknown: names
+    and values of unknown headers.
     """
 
     epoch: int = 0
@@ -76,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListRead:
-    """The list of upstreams, the source's revision when it was read (or later), and its epoch."""
+    """The list of upstreams; revision: the source's when the list was read, or a later one."""
 
     items: tuple[PublishedItem, ...]
     revision: int
@@ -85,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationRead:
-    """The configuration as it was read, None before the first."""
+    """The configuration; item is None before the first is published."""
 
     item: PublishedItem | None
     epoch: int = 0
@@ -93,8 +92,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationChange:
-    """What became of the configuration up to a revision of the source: its last change, None when
-    nothing did. until is None when the source's history doesn't reach back so far.
+    """The last change of the configuration up to a revision of the source.
+
+    item: None for no change. through_revision: None when the source's history doesn't reach back
+    to the requested revision.
     """
 
     item: PublishedItem | None
@@ -103,54 +104,54 @@
 
 
 class EpochChangedError(CallFailedError):
-    """The source's epoch changed while something was read in parts."""
+    """The source's epoch changed during a read in several parts."""
 
     def __init__(self, first: int, second: int) -> None:
         super().__init__(f"epoch {first}, then {second}", sent=True)
 
 
 class PublishedSource(Protocol):
-    """Reads of what the operators publish; they raise CallFailedError.
+    """The source of published values; its reads raise CallFailedError.
 
-    stall is how many seconds may pass without a byte. A revision counts all changes of the source
+    stall_timeout: the most seconds without a byte. A revision counts all changes of the source
     within an epoch.
     """
 
-    async def read_configuration(self, stall: float) -> ConfigurationRead:
-        """The newest configuration; linearizable."""
+    async def read_configuration(self, stall_timeout: float) -> ConfigurationRead:
+        """Read the newest configuration; linearizable."""
         ...
 
-    async def read_change(self, since: int, stall: float) -> ConfigurationChange:
-        """The last change of the configuration after a revision.
+    async def read_change(self, since: int, stall_timeout: float) -> ConfigurationChange:
+        """Read the last change of the configuration after a revision.
 
-        The answer may be old, but it leaves out nothing up to the revision that it names.
+        The response may be stale, but is complete up to its `through_revision`.
         """
         ...
 
-    async def read_upstreams(self, stall: float) -> ListRead:
-        """The list of upstreams, of one epoch; linearizable."""
+    async def read_upstreams(self, stall_timeout: float) -> ListRead:
+        """Read the list of upstreams, of one epoch; linearizable."""
         ...
 
 
 class ReportPort(Protocol):
-    """Reports of model engines; calls raise CallFailedError."""
+    """Status queries to model engines; calls raise CallFailedError."""
 
     async def read_report(
-        self, host: str, port: int, timeout: float, hear: HeadCallback
+        self, host: str, port: int, timeout: float, on_head: HeadCallback
     ) -> EngineReport:
-        """Ask an engine what it does."""
+        """Query an engine's status."""
         ...
 
 
 class LeaseResponse(enum.Enum):
-    """What an engine says to a wish for memory."""
+    """An engine's response to a request for a memory lease."""
 
     HELD = "held"
     REFUSED = "refused"
 
 
 class LeasePort(Protocol):
-    """Memory leases at engines; calls raise CallFailedError."""
+    """Memory leases of engines; calls raise CallFailedError."""
 
     async def reserve(
         self,
@@ -160,15 +161,15 @@
         tokens: int,
         hold: float,
         timeout: float,
-        hear: HeadCallback,
+        on_head: HeadCallback,
     ) -> LeaseResponse:
-        """Set memory aside, or renew it."""
+        """Acquire or renew a lease; tokens: its size; hold: its duration."""
         ...
 
     async def release(
-        self, host: str, port: int, lease: str, timeout: float, hear: HeadCallback
+        self, host: str, port: int, lease: str, timeout: float, on_head: HeadCallback
     ) -> bool:
-        """Give memory back."""
+        """Release a lease."""
         ...
 
 
@@ -176,7 +177,7 @@
     """Liveness checks; calls raise CallFailedError."""
 
     async def is_healthy(
-        self, host: str, port: int, path: str, timeout: float, hear: HeadCallback
+        self, host: str, port: int, path: str, timeout: float, on_head: HeadCallback
     ) -> bool:
-        """Whether an upstream says that it is well."""
+        """Whether an upstream reports that it is healthy."""
         ...
--- a/pondpin/relay/publication_handler.py
+++ b/pondpin/relay/publication_handler.py
@@ -1,4 +1,4 @@
-"""Takes what is published: puts it in force and writes a line for each change of belief."""
+"""Applies published updates to the instance and logs them."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -27,7 +27,7 @@
 
 @dataclass
 class PublicationHandler:
-    """What follows from a new configuration, a new list, or a proof that grew old."""
+    """Handles a new configuration, a new list, and a proof that becomes too old."""
 
     table: UpstreamTable
     publication: Publication
@@ -40,13 +40,12 @@
     fresh: bool | None = None
 
     def apply_configuration(self, configuration: RelayConfiguration) -> None:
-        """A configuration is in force."""
+        """Apply the limits of a configuration that came into force, and log it."""
         self.caller_server.limits = caller_limits(self.memory_mebibytes(), configuration)
         self.caller_server.set_idle(self.caller_server.limits.idle_seconds)
         self.metrics.revision.set({}, configuration.version)
-        # Since when it was known to be missing.
-        heard_at = self.publication.newer_seen_at
-        behind = 0.0 if heard_at is None else self.clock() - heard_at
+        seen_at = self.publication.newer_seen_at
+        behind = 0.0 if seen_at is None else self.clock() - seen_at
         self.log.write(
             ConfigurationApplied(
                 version=configuration.version,
@@ -60,40 +59,40 @@
         )
 
     def apply_list(self, change: ListChange) -> None:
-        """The list of upstreams changed."""
-        news = self.table.apply_list(change.listed, change.removed_ids, self.clock())
-        for name in news.leaving:
+        """Apply a changed list of upstreams."""
+        changes = self.table.apply_list(change.listed, change.removed_ids, self.clock())
+        for name in changes.leaving:
             self.metrics.leavings.inc({"source": "list"})
             self.log.write(UpstreamLeaving(upstream=name, source="list"))
-        for restart in news.restarted:
+        for restart in changes.restarted:
             self._record_restart(restart)
 
     def _record_restart(self, restart: Restart) -> None:
-        """A later life is listed; loaded with the first of them."""
+        """Handle a later life in the list; its code is loaded with the first restart."""
         from pondpin.relay.upstreams.restarts import handle_restart
 
         handle_restart(restart, self.table, self.http, self.log, self.clock())
 
     def log_report(self, report: Report) -> None:
-        """Log what else the publication tells; loaded with the first of it."""
+        """Log another report of the publication; its code is loaded with the first report."""
         from pondpin.relay.published.source_events import log_report
 
         log_report(report, self.publication.in_force, self.metrics, self.log)
 
     def log_rejected(self, kind: DocumentKind, key: str, reason: str) -> None:
-        """A published value is unsound."""
+        """Log an invalid published value."""
         if kind is DocumentKind.CONFIGURATION:
             self.metrics.configurations.inc({"source": "platform", "result": "refused"})
         else:
             self.metrics.entries_refused.inc({})
         self.log.write(PublishedRejected(key=key, reason=reason))
 
-    def log_freshness(self, beliefs: AdmissionState) -> None:
-        """Log when keys begin or cease to be accepted."""
+    def log_freshness(self, state: AdmissionState) -> None:
+        """Log when API keys begin or cease to be accepted."""
         now = self.clock()
-        age, fresh = beliefs.proof_age(now), beliefs.accepts_keys(now)
+        age, fresh = state.proof_age(now), state.accepts_keys(now)
         if fresh != self.fresh:
             self.fresh = fresh
-            told = -1.0 if age == float("inf") else round(age, 3)
+            age_seconds = -1.0 if age == float("inf") else round(age, 3)
             revision = self.publication.revision
-            self.log.write(FreshnessChanged(fresh=fresh, age=told, revision=revision))
+            self.log.write(FreshnessChanged(fresh=fresh, age=age_seconds, revision=revision))
