--- a/pondpin/relay/call.py
+++ b/pondpin/relay/call.py
@@ -11,8 +11,8 @@
 if TYPE_CHECKING:
     from pondpin.pace import Permit
 
-# A caller abandons a stream that is silent for the longest of: this many seconds, latency targets
-# and gap targets of its route. The same holds before the first event.
+# A caller abandons a stream after the longest of these without an event, also before the first:
+# seconds, latency targets of the route, gap targets of the route.
 MIN_CALLER_TIMEOUT_SECONDS = 2.0
 CALLER_TIMEOUT_TARGETS = 4.0
 CALLER_TIMEOUT_GAPS = 8.0
@@ -84,9 +84,8 @@
 class AttemptEnd:
     """The result of an attempt.
 
-    failed_endpoint: the upstream that caused the failure. connection_refused: no process listened
-    at the upstream's address. A withheld attempt was planned and not sent, because a send check
-    failed once its connection was open.
+    failed_endpoint: the upstream that caused the failure. A withheld attempt was not sent, because
+    a send check failed once its connection was open.
     """
 
     kind: EndKind
@@ -123,8 +122,8 @@
     last_event_at: float = 0.0
     longest_gap: float = 0.0
     head_sent: bool = False
-    # A request suspected of crashing upstreams runs at a single one, the one with the fewest other
-    # requests, and not on a software release that it has crashed.
+    # A request suspected of crashing upstreams runs on a single one, with the fewest other requests
+    # and a software release that it hasn't crashed.
     suspected: bool = False
     spent_releases: frozenset[int] = frozenset()
     # The unused permit for the next send to a rate-limited upstream.
--- a/pondpin/relay/entry.py
+++ b/pondpin/relay/entry.py
@@ -67,10 +67,9 @@
 BALANCER_REMOVAL_SECONDS = 3.0
 # Open requests are cancelled this long before the process would be killed.
 STOP_MARGIN_SECONDS = 0.4
-# A started instance doesn't know its peers' placements: each peer sends two digests in this time.
+# Time to learn the peers' placements after a start: each peer sends two digests in it.
 SETTLE_SECONDS = 0.5
-# How long a started instance waits for peers that have a newer configuration than the source, which
-# may be an outdated copy.
+# A starting instance prefers its peers' configuration this long: the source may be an older copy.
 PEERS_FIRST_SECONDS = 0.25
 MILLISECONDS = 1000.0
 
@@ -321,7 +320,7 @@
         return is_fresh(publication.proof, publication.in_force, steady_now(), max_age)
 
     async def start(self) -> Endpoint:
-        """Listen, then start to read and exchange published values."""
+        """Listen and start the controllers."""
         settings = self.settings
         self.log.open()
         self.log.write(
@@ -384,7 +383,7 @@
         self.log.flush()
 
     def reload(self, settings: RelaySettings) -> None:
-        """Apply the settings that may change at run time: limits and seeds."""
+        """Apply the settings that may change at run time."""
         self.settings = settings
         self.gossip.peer_hosts.seeds = tuple(
             parse_endpoint(item).host for item in settings.peers.known
--- a/pondpin/relay/log_events.py
+++ b/pondpin/relay/log_events.py
@@ -138,7 +138,7 @@
 
     answer: the kind of request that it answered. life: its number, the same at every instance.
     list_says, list_age: its state in the list of upstreams, and the list's age, -1 if it was never
-    read. rest: seconds asked for; until: their end by the monotonic clock; odd: an invalid value.
+    read. rest: seconds asked for; until: its end by the monotonic clock; odd: an invalid value.
     """
 
     upstream: str
--- a/pondpin/relay/model.py
+++ b/pondpin/relay/model.py
@@ -176,7 +176,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestMetadata:
-    """A caller's headers; timeout is in seconds, None for none."""
+    """A caller's headers; timeout is in seconds, None if not given."""
 
     attempt_id: str
     host: str
@@ -198,7 +198,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """A model engine's response to a status query; some hundred ms old.
+    """A model engine's response to a status query; a few hundred ms old.
 
     born: the start of the life that answered, None if not reported.
     """
--- a/pondpin/relay/ports.py
+++ b/pondpin/relay/ports.py
@@ -47,17 +47,14 @@
 
     def read_request(self, headers: RawHeaders) -> RequestMetadata:
         """Decode a caller's headers."""
-        ...
 
     def forward_headers(
         self, headers: RawHeaders, metadata: ForwardMetadata
     ) -> list[tuple[bytes, bytes]]:
         """Build the headers of a request to an upstream."""
-        ...
 
     def read_head(self, status: int, headers: Iterable[tuple[bytes, bytes]]) -> ResponseHead:
         """Decode the head of an upstream's response."""
-        ...
 
 
 @dataclass(frozen=True, slots=True)
@@ -119,18 +116,15 @@
 
     async def read_configuration(self, stall_timeout: float) -> ConfigurationRead:
         """Read the newest configuration; linearizable."""
-        ...
 
     async def read_change(self, since: int, stall_timeout: float) -> ConfigurationChange:
         """Read the last change of the configuration after a revision.
 
         The response may be stale, but is complete up to its `through_revision`.
         """
-        ...
 
     async def read_upstreams(self, stall_timeout: float) -> ListRead:
         """Read the list of upstreams, of one epoch; linearizable."""
-        ...
 
 
 class ReportPort(Protocol):
@@ -140,7 +134,6 @@
         self, host: str, port: int, timeout: float, on_head: HeadCallback
     ) -> EngineReport:
         """Query an engine's status."""
-        ...
 
 
 class LeaseResponse(enum.Enum):
@@ -164,13 +157,11 @@
         on_head: HeadCallback,
     ) -> LeaseResponse:
         """Acquire or renew a lease; tokens: its size; hold: its duration."""
-        ...
 
     async def release(
         self, host: str, port: int, lease: str, timeout: float, on_head: HeadCallback
     ) -> bool:
         """Release a lease."""
-        ...
 
 
 class LivenessPort(Protocol):
@@ -180,4 +171,3 @@
         self, host: str, port: int, path: str, timeout: float, on_head: HeadCallback
     ) -> bool:
         """Whether an upstream reports that it is healthy."""
-        ...
--- a/pondpin/relay/publication_handler.py
+++ b/pondpin/relay/publication_handler.py
@@ -40,7 +40,7 @@
     fresh: bool | None = None
 
     def apply_configuration(self, configuration: RelayConfiguration) -> None:
-        """Apply the limits of a configuration that came into force, and log it."""
+        """Apply a new configuration's limits and log it."""
         self.caller_server.limits = caller_limits(self.memory_mebibytes(), configuration)
         self.caller_server.set_idle(self.caller_server.limits.idle_seconds)
         self.metrics.revision.set({}, configuration.version)
@@ -68,13 +68,13 @@
             self._record_restart(restart)
 
     def _record_restart(self, restart: Restart) -> None:
-        """Handle a later life in the list; its code is loaded with the first restart."""
+        """Handle a restart; the code is loaded at the first one."""
         from pondpin.relay.upstreams.restarts import handle_restart
 
         handle_restart(restart, self.table, self.http, self.log, self.clock())
 
     def log_report(self, report: Report) -> None:
-        """Log another report of the publication; its code is loaded with the first report."""
+        """Log a report of the publication; the code is loaded at the first one."""
         from pondpin.relay.published.source_events import log_report
 
         log_report(report, self.publication.in_force, self.metrics, self.log)
