--- a/pondpin/controllers/__init__.py
+++ b/pondpin/controllers/__init__.py
@@ -1,1 +1,1 @@
-"""Controllers: tasks that keep state current beside the way of requests."""
+"""Controllers: tasks that keep state current outside the request path."""
--- a/pondpin/controllers/base.py
+++ b/pondpin/controllers/base.py
@@ -1,23 +1,23 @@
-"""The base of controllers: a task that runs a step again and again until it is stopped."""
+"""The base class of controllers: a task that runs a step periodically until stopped."""
 
 import asyncio
 from abc import ABC, abstractmethod
 
 from absl import logging
 
-# A step that ends in the last part of its period skips the next one.
-LATEST_SHARE = 0.95
+# A step that ends after this share of its period skips the next one.
+SKIP_SHARE = 0.95
 
 
 class Controller(ABC):
-    """Runs step every period seconds; a fault in a step is logged once in a row and counted."""
+    """Runs step every period seconds; counts failed steps, and logs the first of a series."""
 
     period: float = 1.0
 
     def __init__(self) -> None:
         self._task: asyncio.Task[None] | None = None
         self._phase: float | None = None
-        self.faults = 0
+        self.failures = 0
         self._failing = False
 
     @abstractmethod
@@ -25,16 +25,16 @@
         """Do the work of one period."""
 
     def start(self, phase: float | None = None) -> None:
-        """Begin to run.
+        """Start the task.
 
-        phase: steps come at this moment of the loop's clock and whole periods from it. Controllers
-        of a process that share it are due together, so that an idle process wakes up once for all.
+        phase: time of the loop's clock that steps are aligned to, in whole periods. Controllers
+        that share a phase run together, so that an idle process wakes up once for all of them.
         """
         self._phase = phase
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop and wait until it has."""
+        """Cancel the task and wait for its end."""
         if self._task is None:
             return
         self._task.cancel()
@@ -46,19 +46,20 @@
             try:
                 await self.step()
                 self._failing = False
-            except Exception:  # the next period tries again
-                self.faults += 1
+            except Exception:  # retried in the next period
+                self.failures += 1
                 if not self._failing:
                     logging.exception("%s failed", type(self).__name__)
                 self._failing = True
-            await asyncio.sleep(self._rest())
+            await asyncio.sleep(self._delay())
 
-    def _rest(self) -> float:
+    def _delay(self) -> float:
         """Seconds until the next step."""
         if self._phase is None:
             return self.period
-        since = (asyncio.get_running_loop().time() - self._phase) % self.period
-        # A step that ended just before its next moment waits for the one after.
+        elapsed = (asyncio.get_running_loop().time() - self._phase) % self.period
         return (
-            self.period - since if since < self.period * LATEST_SHARE else 2 * self.period - since
+            self.period - elapsed
+            if elapsed < self.period * SKIP_SHARE
+            else 2 * self.period - elapsed
         )
--- a/pondpin/controllers/configuration.py
+++ b/pondpin/controllers/configuration.py
@@ -1,7 +1,7 @@
-"""Keeps the configuration in force: only a newer one that passes the check replaces it.
+"""Holds the configuration in force, which only a newer valid one replaces.
 
-What is newer is told by the operators' version where both documents have one, else by the position
-in the platform's history, see `pondpin.positions`.
+The operators' version decides which is newer if both documents have one, otherwise the position in
+the platform's history, see `pondpin.positions`.
 """
 
 import random
@@ -23,20 +23,20 @@
 from pondpin.positions import epoch_of, revision_of
 
 MAX_DOCUMENT_BYTES = 1 << 20
-# A restored platform may bring back a document that was in force some changes ago.
-KEPT_CONTENTS = 64
+# A restored platform may publish a document that was in force several changes ago.
+MAX_RECENT_HASHES = 64
 
 
 @dataclass(frozen=True, slots=True)
 class RejectedRevision:
-    """A revision, as a position, that failed the check, with its numbered faults."""
+    """A revision (as a position) that failed validation, with its numbered faults."""
 
     revision: int
     faults: str
 
 
 class ConfigurationStore:
-    """The configuration in force, and the floor under which nothing is taken."""
+    """The configuration in force, and the lowest revision that may replace it."""
 
     def __init__(self, metrics: Metrics, on_change: Callable[[Snapshot], None]) -> None:
         self._metrics = metrics
@@ -45,10 +45,10 @@
         self.document = b""
         self.floor = 0
         self.rejected: RejectedRevision | None = None
-        # The last position whose value was an older one, brought back by a restored platform.
+        # The last position ignored because a restored platform published an older document there.
         self.ignored_position = 0
-        # Hashes of the documents that were in force, the last of them now.
-        self._contents: deque[int] = deque(maxlen=KEPT_CONTENTS)
+        # Hashes of the documents that were in force; the last one is in force now.
+        self._recent_hashes: deque[int] = deque(maxlen=MAX_RECENT_HASHES)
 
     @property
     def revision(self) -> int:
@@ -57,21 +57,21 @@
 
     @property
     def seen_revision(self) -> int:
-        """The highest revision looked at: in force, refused or left out."""
-        refused = self.rejected.revision if self.rejected is not None else 0
-        return max(self.revision, refused, self.ignored_position)
+        """The highest revision processed: in force, rejected or ignored."""
+        rejected = self.rejected.revision if self.rejected is not None else 0
+        return max(self.revision, rejected, self.ignored_position)
 
     def raise_floor(self, revision: int) -> None:
-        """Some peer, fence or token shows that this revision was in force."""
+        """Record that a peer, fence or token proves this revision was in force."""
         self.floor = max(self.floor, revision)
 
     def apply(self, revision: int, document: bytes, source: str) -> bool:
-        """Take a configuration if it is newer and sound; says whether it is now in force."""
-        result = self._judge(revision, document)
+        """Put a configuration in force if it is newer and valid; returns whether it is."""
+        result = self._check_and_apply(revision, document)
         self._metrics.configurations.inc({"source": source, "result": result})
         return result == "taken"
 
-    def _judge(self, revision: int, document: bytes) -> str:
+    def _check_and_apply(self, revision: int, document: bytes) -> str:
         if revision <= self.seen_revision:
             return "not newer"
         if revision < self.floor:
@@ -83,38 +83,38 @@
         except (InvalidFileError, ValueError) as error:
             faults = error.numbered() if isinstance(error, InvalidFileError) else str(error)
             self.rejected = RejectedRevision(revision, faults)
-            logging.warning("revision %d refused:\n%s", revision, faults)
+            logging.warning("revision %d rejected:\n%s", revision, faults)
             return "refused"
-        content = xxhash.xxh64_intdigest(document)
-        if self._is_older(configuration, content, revision):
-            self._leave_out(revision)
+        content_hash = xxhash.xxh64_intdigest(document)
+        if self._is_older(configuration, content_hash, revision):
+            self._ignore(revision)
             return "left out"
-        self._contents.append(content)
-        self._take(Snapshot(revision, configuration), document)
+        self._recent_hashes.append(content_hash)
+        self._put_in_force(Snapshot(revision, configuration), document)
         return "taken"
 
-    def _is_older(self, configuration: Configuration, content: int, revision: int) -> bool:
-        """Whether a document under a later position is older than the one in force."""
+    def _is_older(self, configuration: Configuration, content_hash: int, revision: int) -> bool:
+        """Whether a document at a later position is older than the one in force."""
         if self.snapshot is None:
             return False
-        known = self.snapshot.configuration.version
-        if known and configuration.version:
-            return configuration.version < known
-        # Without versions the first document of an epoch is the copy's, unless it is new here.
+        current_version = self.snapshot.configuration.version
+        if current_version and configuration.version:
+            return configuration.version < current_version
+        # Without versions, an epoch's first document is the backup's if it was in force here.
         is_first = epoch_of(revision) > epoch_of(max(self.revision, self.ignored_position))
-        return is_first and content in list(self._contents)[:-1]
+        return is_first and content_hash in list(self._recent_hashes)[:-1]
 
-    def _leave_out(self, revision: int) -> None:
+    def _ignore(self, revision: int) -> None:
         self.ignored_position = revision
         logging.warning(
-            "epoch %d revision %d left out: older than epoch %d revision %d in force",
+            "epoch %d revision %d ignored: older than epoch %d revision %d in force",
             epoch_of(revision),
             revision_of(revision),
             epoch_of(self.revision),
             revision_of(self.revision),
         )
 
-    def _take(self, snapshot: Snapshot, document: bytes) -> None:
+    def _put_in_force(self, snapshot: Snapshot, document: bytes) -> None:
         INVARIANTS.check(
             snapshot.revision > self.revision, "revision_only_rises", f"{snapshot.revision}"
         )
@@ -137,7 +137,7 @@
 
 
 class ConfigurationController(Controller):
-    """Watches the platform's value."""
+    """Watches the platform for new configurations."""
 
     def __init__(
         self,
@@ -157,23 +157,23 @@
         self.platform_reachable = False
 
     async def step(self) -> None:
-        """One watch; after a failure the next waits a random part of the retry time."""
-        # The first read does not wait, so that it is soon known whether the platform answers.
-        wait = self._watch_seconds if self.platform_reachable else 0.0
+        """Watch once; after a failure the next watch waits 0.5 to 1.5 times the retry time."""
+        # The first read doesn't wait, so that platform_reachable is current_version early.
+        wait_seconds = self._watch_seconds if self.platform_reachable else 0.0
         try:
-            published = await self._platform.watch(self._store.seen_revision, wait)
+            published = await self._platform.watch(self._store.seen_revision, wait_seconds)
         except CallFailedError as error:
             if self.platform_reachable:
-                logging.warning("the platform does not answer: %s", error)
+                logging.warning("platform unreachable: %s", error)
             self.platform_reachable = False
             self.period = self._retry_seconds * (0.5 + self._random.random())
             return
         if not self.platform_reachable:
-            logging.info("the platform answers")
+            logging.info("platform reachable")
         self.platform_reachable = True
         self.period = 0.0
         if published is not None and not self._store.apply(
             published.position, published.document, "platform"
         ):
-            # A platform that serves an old value must not be asked in a tight loop.
+            # Don't poll a platform that serves an old value in a tight loop.
             self.period = self._retry_seconds
--- a/pondpin/controllers/housekeeping.py
+++ b/pondpin/controllers/housekeeping.py
@@ -1,4 +1,4 @@
-"""Small periodic duties: watchdog, queue, kept answers, gauges."""
+"""Periodic maintenance: watchdog, queue, stored responses, gauges."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 
 class QueueController(Controller):
-    """Tries the queue's heads again as time passes."""
+    """Retries to place the heads of the queue."""
 
     period = PUMP_SECONDS
 
@@ -25,7 +25,7 @@
         self._scheduler = scheduler
 
     async def step(self) -> None:
-        """Pump while anything waits; an idle instance spends nothing on it."""
+        """Pump the queue; with nothing queued, sleep until something is."""
         await self._scheduler.something_waits.wait()
         self._scheduler.pump()
         if self._scheduler.queue.size == 0:
@@ -33,7 +33,7 @@
 
 
 class HousekeepingController(Controller):
-    """Checks attempts for stalls and keeps gauges current."""
+    """Checks attempts for stalls, expires stored responses and updates gauges."""
 
     period = TICK_SECONDS
 
@@ -45,11 +45,11 @@
         ledger: Ledger,
         metrics: InterfaceMetrics,
         open_calls: Callable[[], int],
-        watch_ends: Callable[[], None],
+        refresh_crashes: Callable[[], None],
         clock: Clock,
     ) -> None:
         super().__init__()
-        self._watch_ends = watch_ends
+        self._refresh_crashes = refresh_crashes
         self._watchdog = watchdog
         self._once = once
         self._scheduler = scheduler
@@ -57,14 +57,14 @@
         self._metrics = metrics
         self._open_calls = open_calls
         self._clock = clock
-        self._told_drops: Counter[str] = Counter()
+        self._reported_drops: Counter[str] = Counter()
 
     async def step(self) -> None:
-        """One tick."""
+        """Run the checks and update the gauges."""
         now = self._clock()
         self._watchdog.tick(now)
         self._once.forget_old(now)
-        self._watch_ends()
+        self._refresh_crashes()
         metrics = self._metrics
         metrics.open_requests.set({}, self._open_calls())
         metrics.queued.set({}, self._scheduler.queue.size)
@@ -72,5 +72,5 @@
         for name, count in INVARIANTS.breaches_by_name.items():
             metrics.invariant_breaches.set({"invariant": name}, count)
         for cause, count in self._watchdog.dropped.items():
-            metrics.frames_dropped.add({"cause": cause}, count - self._told_drops[cause])
-        self._told_drops = Counter(self._watchdog.dropped)
+            metrics.frames_dropped.add({"cause": cause}, count - self._reported_drops[cause])
+        self._reported_drops = Counter(self._watchdog.dropped)
--- a/pondpin/controllers/load.py
+++ b/pondpin/controllers/load.py
@@ -1,4 +1,4 @@
-"""Polls upstreams for their load, cache events and signs of leaving."""
+"""Polls upstreams for their load, cache events and shutdown notices."""
 
 import asyncio
 import random
@@ -20,7 +20,7 @@
 
 
 class LoadController(Controller):
-    """Polls each upstream once a period, all at the same time."""
+    """Polls all upstreams concurrently, once per period."""
 
     def __init__(
         self,
@@ -45,24 +45,24 @@
         self._random = rng
         self._after_poll = after_poll
         self._on_fence = on_fence
-        self._busy: set[str] = set()
+        self._polling: set[str] = set()
         self._polls: set[asyncio.Task[None]] = set()
 
     async def step(self) -> None:
-        """Start a poll of each upstream that has none open; one that hangs delays no other.
+        """Start a poll of each upstream without a poll in progress; a slow one delays no other.
 
-        One that asked for rest wants no polls either.
+        Upstreams within a rest (Retry-After) period aren't polled.
         """
         now = self._clock()
         for state in list(self._fleet.by_name.values()):
-            if state.name not in self._busy and state.bar(now) is not BlockReason.RESTING:
-                self._busy.add(state.name)
+            if state.name not in self._polling and state.bar(now) is not BlockReason.RESTING:
+                self._polling.add(state.name)
                 self._spawn(self._poll(state))
-        # Jitter, so that instances started together don't poll together for ever.
+        # Jitter keeps instances that started together from polling together.
         self.period = self._mean_period * (0.9 + 0.2 * self._random.random())
 
     async def stop(self) -> None:
-        """Stop, and end open polls."""
+        """Stop, and cancel polls in progress."""
         await super().stop()
         for task in list(self._polls):
             task.cancel()
@@ -84,9 +84,9 @@
             state.health = record_failure(state.health, self._clock(), certain=not error.sent)
         finally:
             state.polled = True
-            self._busy.discard(state.name)
+            self._polling.discard(state.name)
         if state.leaving and not was_leaving:
-            logging.info("upstream %s leaves", state.name)
+            logging.info("upstream %s is leaving", state.name)
         if state.health.is_ejected(self._clock()) != was_ejected:
             logging.info("upstream %s %s", state.name, "back" if was_ejected else "ejected")
         self._after_poll()
--- a/pondpin/controllers/orders.py
+++ b/pondpin/controllers/orders.py
@@ -1,4 +1,4 @@
-"""Brings engines to the state that the configuration wants, by orders with fences."""
+"""Brings engines to the state that the configuration wants, by orders with fencing numbers."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -26,13 +26,13 @@
 )
 
 PERIOD_SECONDS = 1.0
-# A longer gap between two rounds means that this process was paused: what it knows is old.
-PAUSE_SECONDS = 3.0
+# A longer gap between rounds means that this process was paused and its state is stale.
+MAX_ROUND_GAP_SECONDS = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class OrderContext:
-    """What the controller needs of the rest of the instance."""
+    """State of the instance that the controller reads or updates."""
 
     snapshot: Callable[[], Snapshot | None]
     live_instances: Callable[[], list[str]]
@@ -41,7 +41,7 @@
 
 
 class OrderController(Controller):
-    """Plans orders each round, and gives those of the engines that this instance owns."""
+    """Plans orders each round, and sends those for the engines that this instance owns."""
 
     period = PERIOD_SECONDS
 
@@ -64,12 +64,12 @@
         self._clock = clock
         self._timeout = timeout
         self._last_round = clock()
-        self.planned: list[PlannedOrder] = []
+        self.planned_orders: list[PlannedOrder] = []
 
     async def step(self) -> None:
-        """One round."""
+        """Plan a round and send the orders of own engines."""
         now = self._clock()
-        paused = now - self._last_round > PAUSE_SECONDS
+        paused = now - self._last_round > MAX_ROUND_GAP_SECONDS
         self._last_round = now
         snapshot = self._context.snapshot()
         if paused or snapshot is None or self._context.draining():
@@ -77,14 +77,14 @@
         policy = snapshot.configuration.policy
         rules = OrderRules(policy.loads_at_once, policy.serving_floor, policy.dwell_seconds)
         states = [state for state in self._fleet.engines() if state.report is not None]
-        views = [self._view(state, now) for state in states]
-        self.planned = plan_orders(views, desired_states(snapshot.configuration), rules)
+        views = [self._make_view(state, now) for state in states]
+        self.planned_orders = plan_orders(views, desired_states(snapshot.configuration), rules)
         instances = [*self._context.live_instances(), self._instance]
-        for order in self.planned:
+        for order in self.planned_orders:
             if not order.held_back and find_owner(order.engine, instances) == self._instance:
-                await self._give(order, snapshot.revision)
+                await self._send_order(order, snapshot.revision)
 
-    def _view(self, state: UpstreamState, now: float) -> OrderView:
+    def _make_view(self, state: UpstreamState, now: float) -> OrderView:
         report = state.report
         assert report is not None, "only engines that have reported are ordered"
         return OrderView(
@@ -97,18 +97,18 @@
             order_age=report.order_age,
         )
 
-    async def _give(self, planned: PlannedOrder, revision: int) -> None:
-        state = self._fleet.by_name[planned.engine]
+    async def _send_order(self, order: PlannedOrder, revision: int) -> None:
+        state = self._fleet.by_name[order.engine]
         try:
-            result = await self._try(state, planned, revision)
+            result = await self._propose(state, order, revision)
         except CallFailedError as error:
             result = "no answer"
-            logging.debug("order to %s: %s", planned.engine, error)
-        self._metrics.orders.inc({"upstream": planned.engine, "result": result})
-        logging.info("order to %s: %s", planned.engine, result)
+            logging.debug("order to %s: %s", order.engine, error)
+        self._metrics.orders.inc({"upstream": order.engine, "result": result})
+        logging.info("order to %s: %s", order.engine, result)
 
-    async def _try(self, state: UpstreamState, planned: PlannedOrder, revision: int) -> str:
-        """Read the engine's fence and propose the next; the engine decides."""
+    async def _propose(self, state: UpstreamState, order: PlannedOrder, revision: int) -> str:
+        """Read the engine's fence and send an order with the next; the engine decides."""
         address = state.upstream.address
         last = await self._engines.last_order(address, self._timeout)
         fence = next_fence(last.fence, revision)
@@ -116,9 +116,11 @@
             if state.upstream.checks_fences:
                 self._context.raise_floor(revision_of_fence(last.fence))
             return "a newer revision was there"
-        if self._clock() - self._last_round > PAUSE_SECONDS:
+        if self._clock() - self._last_round > MAX_ROUND_GAP_SECONDS:
             return "paused meanwhile"
-        wanted = planned.desired
-        order = Order(fence=fence, model=wanted.model, role=wanted.role, adapters=wanted.adapters)
-        answer = await self._engines.order(address, order, self._timeout)
-        return "taken" if answer.taken else "another was first"
+        desired = order.desired
+        proposal = Order(
+            fence=fence, model=desired.model, role=desired.role, adapters=desired.adapters
+        )
+        response = await self._engines.order(address, proposal, self._timeout)
+        return "taken" if response.taken else "another was first"
--- a/pondpin/controllers/orphans.py
+++ b/pondpin/controllers/orphans.py
@@ -1,4 +1,4 @@
-"""Returns memory that engines hold for requests whose holder is dead or past its time."""
+"""Releases engine memory held for requests whose holder has died or whose deadline has passed."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,37 +14,38 @@
 from pondpin.reservations import Reservations
 
 PERIOD_SECONDS = 1.0
-# A release that fails for this many graces is left to the reservation's deadline.
-RELEASE_GRACES = 60
+# Release retries end after this many grace periods; then the reservation's deadline frees it.
+RELEASE_RETRY_GRACES = 60
 
 
 @dataclass(frozen=True, slots=True)
 class HolderView:
-    """What is known of the holder of some work: its newest incarnation, 0 when unknown."""
+    """The instance that holds some work; newest_incarnation is 0 if unknown."""
 
     is_self: bool
     newest_incarnation: int
 
 
 def orphan_cause(
-    held: HeldWork, holder: HolderView, known_here: bool, wall_now: float, grace: float
+    held: HeldWork, holder: HolderView, is_known: bool, wall_now: float, grace: float
 ) -> str:
-    """Why work on an engine is an orphan; empty when it is not one.
+    """Why work on an engine is an orphan; empty if it isn't one.
 
-    Past its deadline and the grace it is one whoever holds it: an admitted request ends by
-    its deadline. Before that, only when a newer incarnation of its holder is known, and so
-    the one that held it is dead for good. A holder that is merely silent keeps its work.
+    After its deadline plus grace it always is one, because an admitted request ends by its
+    deadline. Before that, only if a newer incarnation of its holder is known, which proves that
+    the old one is dead, or if its holder is this instance and doesn't know it. Silence of the
+    holder is no proof.
     """
     if wall_now > held.deadline + grace:
         return "past its deadline"
     if holder.newest_incarnation > held.incarnation:
         return "of an earlier incarnation"
-    own_life = holder.is_self and holder.newest_incarnation == held.incarnation
-    return "not known to its holder" if own_life and not known_here else ""
+    same_incarnation = holder.is_self and holder.newest_incarnation == held.incarnation
+    return "not known to its holder" if same_incarnation and not is_known else ""
 
 
 class OrphanController(Controller):
-    """Cancels orphans found in load reports, and repeats releases that failed."""
+    """Cancels orphans found in load reports, and retries failed releases."""
 
     def __init__(
         self,
@@ -74,21 +75,21 @@
         self._suspects: set[tuple[str, int, str]] = set()
 
     async def step(self) -> None:
-        """Look through the last reports."""
+        """Check the last load reports."""
         suspects: set[tuple[str, int, str]] = set()
         for state in self._fleet.engines():
             if state.report is None:
                 continue
             for held in state.report.held:
-                await self._look_at(state, held, suspects)
+                await self._check(state, held, suspects)
         self._suspects = suspects
-        await self._reservations.repeat_failed(self._grace * RELEASE_GRACES)
+        await self._reservations.repeat_failed(self._grace * RELEASE_RETRY_GRACES)
 
-    async def _look_at(
+    async def _check(
         self, state: UpstreamState, held: HeldWork, suspects: set[tuple[str, int, str]]
     ) -> None:
-        own = held.instance == self._instance
-        holder = HolderView(own, self._newest_incarnation(held.instance))
+        is_self = held.instance == self._instance
+        holder = HolderView(is_self, self._newest_incarnation(held.instance))
         request, _, attempt = held.reservation.rpartition(".")
         key = (
             (request, int(attempt), state.name)
@@ -99,7 +100,7 @@
         cause = orphan_cause(held, holder, known, self._wall_clock(), self._grace)
         if not cause:
             return
-        # A report lags: what was just sent or just ended is an orphan only when seen twice.
+        # Reports lag, so work that just started or ended looks orphaned: require two rounds.
         suspects.add(key)
         if key in self._suspects:
             await self._cancel(state, held, cause)
--- a/pondpin/controllers/tls_reload.py
+++ b/pondpin/controllers/tls_reload.py
@@ -1,4 +1,4 @@
-"""Reads the peers' TLS files again when they change."""
+"""Reloads the TLS files of the peer protocol when they change."""
 
 from absl import logging
 
@@ -9,7 +9,7 @@
 
 
 class TlsReloadController(Controller):
-    """Looks at the files now and then; other listeners look at each new connection."""
+    """Checks the files periodically; other listeners check them at each new connection."""
 
     period = PERIOD_SECONDS
 
@@ -18,6 +18,6 @@
         self._files = files
 
     async def step(self) -> None:
-        """One look."""
+        """Reload the files if they changed."""
         if self._files.refresh():
-            logging.info("peers' TLS files read again")
+            logging.info("peer TLS files reloaded")
--- a/pondpin/platform/__init__.py
+++ b/pondpin/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: translates its names and forms; no decision, timer or state."""
+"""Adapters to the platform's wire formats; they hold no decisions, timers or state."""
--- a/pondpin/platform/documents.py
+++ b/pondpin/platform/documents.py
@@ -1,4 +1,4 @@
-"""Decodes what the platform publishes: the operator's configuration and the workers' entries."""
+"""Decodes the documents that the platform publishes: configuration and upstream entries."""
 
 from collections import defaultdict
 from typing import Annotated, Literal, TypeVar
@@ -18,14 +18,18 @@
     ServiceShare,
 )
 
-# What an entry may say: more slots than any worker has, and starts outside these years, are
-# another writer's (seconds or microseconds in place of milliseconds among them).
-MOST_SLOTS = 10_000
-FIRST_BORN_MS = 1_000_000_000_000
-LAST_BORN_MS = 9_999_999_999_999
-KINDS = {"safe": RouteKind.SAFE, "unsafe": RouteKind.UNSAFE, "streaming": RouteKind.STREAM}
+# Valid ranges of an entry; other values come from other writers, such as a start in seconds or
+# microseconds instead of milliseconds.
+MAX_SLOTS = 10_000
+MIN_BORN_MS = 1_000_000_000_000
+MAX_BORN_MS = 9_999_999_999_999
+KIND_BY_TYPE = {
+    "safe": RouteKind.SAFE,
+    "unsafe": RouteKind.UNSAFE,
+    "streaming": RouteKind.STREAM,
+}
 DRAINING = "draining"
-MILLISECOND = 0.001
+SECONDS_PER_MS = 0.001
 MILLION = 1e6
 
 Wire = TypeVar("Wire")
@@ -39,7 +43,7 @@
 
 
 class WireRoute(msgspec.Struct, frozen=True, rename="camel"):
-    """A route; with trafficSplit, service is absent. timeoutMs 0 or absent means no bound."""
+    """A route; with trafficSplit, service is absent. timeoutMs 0 or absent: no timeout."""
 
     name: str
     host: str
@@ -57,7 +61,7 @@
 
 
 class WireEngine(msgspec.Struct, frozen=True):
-    """The engine figures of a service; times in ms, read_per_s in tokens."""
+    """The engine profile of a service; times in ms, read_per_s in tokens."""
 
     slots: int
     memory_tokens: int = msgspec.field(name="kvCapacityTokens")
@@ -72,7 +76,7 @@
 
 
 class WireService(msgspec.Struct, frozen=True, rename="camel"):
-    """A service; maxConns is shared by all callers of one worker."""
+    """A service; maxConns is shared by all callers of one upstream."""
 
     name: str
     health_path: str = "/healthz"
@@ -81,7 +85,7 @@
 
 
 class WireLimits(msgspec.Struct, frozen=True, rename="camel"):
-    """Bounds on callers."""
+    """Limits on callers."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4 << 20
@@ -90,7 +94,7 @@
 
 
 class WireTenant(msgspec.Struct, frozen=True, rename="camel"):
-    """A tenant: what the product calls a client account."""
+    """A tenant: the platform's name for a client account."""
 
     name: str
     api_keys: tuple[str, ...] = ()
@@ -98,7 +102,7 @@
 
 
 class WireConfiguration(msgspec.Struct, frozen=True):
-    """The operator's document."""
+    """The operator's configuration document."""
 
     version: int
     routes: tuple[WireRoute, ...]
@@ -108,21 +112,21 @@
 
 
 class WireServer(msgspec.Struct, frozen=True, rename="camel"):
-    """A worker's entry; state says draining some time before a planned end.
+    """An upstream's entry; state is draining for some time before a planned shutdown.
 
-    All but born must be there. version is of its software; born, in Unix ms, is said only by
-    workers that may start again under their id.
+    Every field but born is required. version is the software's; born (Unix ms) is sent only by
+    upstreams that may restart under the same id.
     """
 
     service: str
     address: str
     zone: str
     version: str
-    slots: Annotated[int, msgspec.Meta(ge=1, le=MOST_SLOTS)]
+    slots: Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
     state: Literal["ready", "draining"]
     cold_remaining_ms: Annotated[float, msgspec.Meta(ge=0)]
     sequence: Annotated[int, msgspec.Meta(ge=0)]
-    born: Annotated[int, msgspec.Meta(ge=FIRST_BORN_MS, le=LAST_BORN_MS)] | msgspec.UnsetType = (
+    born: Annotated[int, msgspec.Meta(ge=MIN_BORN_MS, le=MAX_BORN_MS)] | msgspec.UnsetType = (
         msgspec.UNSET
     )
 
@@ -132,7 +136,7 @@
 
 
 class PlatformDecoder:
-    """The product's Decoder for the platform's documents."""
+    """Implements Decoder for the platform's documents."""
 
     def configuration(self, value: bytes) -> RelayConfiguration:
         """Decode the configuration; raises ValueError."""
@@ -140,11 +144,11 @@
         routes: dict[str, list[Route]] = defaultdict(list)
         for route in wire.routes:
             routes[route.host].append(_decode_route(route))
-        for found in routes.values():
-            found.sort(key=lambda route: len(route.prefix), reverse=True)
+        for group in routes.values():
+            group.sort(key=lambda route: len(route.prefix), reverse=True)
         return RelayConfiguration(
             version=wire.version,
-            routes_by_host={host: tuple(found) for host, found in routes.items()},
+            routes_by_host={host: tuple(group) for host, group in routes.items()},
             services_by_name={item.name: _decode_service(item) for item in wire.services},
             accounts_by_key={
                 key: ClientAccount(tenant.name, tenant.priority)
@@ -154,21 +158,21 @@
             bounds=CallerBounds(
                 header_bytes=wire.limits.max_header_bytes,
                 body_bytes=wire.limits.max_body_bytes,
-                header_seconds=wire.limits.header_timeout_ms * MILLISECOND,
-                idle_seconds=wire.limits.idle_timeout_ms * MILLISECOND,
+                header_seconds=wire.limits.header_timeout_ms * SECONDS_PER_MS,
+                idle_seconds=wire.limits.idle_timeout_ms * SECONDS_PER_MS,
             ),
         )
 
     def upstream(self, key: str, value: bytes) -> ListedUpstream:
-        """Decode a worker's entry, whose key is its id under one prefix; raises ValueError.
+        """Decode an upstream's entry; its key is a prefix and the id. Raises ValueError.
 
-        The list has other writers too: what isn't just as a worker writes it names none to use.
+        The list has other writers too, so an entry in any other format is rejected.
         """
         wire = _decode(_SERVER, value)
         endpoint = parse_endpoint(wire.address)
         _, _, name = key.partition("/")
         if not name or "/" in name or not endpoint.port:
-            raise ValueError("no id, or no port")
+            raise ValueError("no id in key, or no port in address")
         return ListedUpstream(
             id=name,
             service=wire.service,
@@ -187,30 +191,30 @@
     try:
         return decoder.decode(value)
     except RecursionError:
-        # A hundred thousand brackets in a field that nobody reads.
+        # E.g. a hundred thousand brackets.
         raise ValueError("nested too deeply") from None
 
 
 def _decode_route(wire: WireRoute) -> Route:
-    kind = KINDS.get(wire.route_type)
+    kind = KIND_BY_TYPE.get(wire.route_type)
     if kind is None:
         raise ValueError(f"route {wire.name}: unknown routeType {wire.route_type!r}")
     shares = tuple(ServiceShare(share.service, share.weight) for share in wire.traffic_split)
     if not shares and not wire.service:
-        raise ValueError(f"route {wire.name}: names no service")
+        raise ValueError(f"route {wire.name}: no service")
     return Route(
         name=wire.name,
         host=wire.host,
         prefix=wire.path_prefix,
         kind=kind,
-        timeout=wire.timeout_ms * MILLISECOND,
-        latency_target=wire.target_latency_ms * MILLISECOND,
+        timeout=wire.timeout_ms * SECONDS_PER_MS,
+        latency_target=wire.target_latency_ms * SECONDS_PER_MS,
         priority=wire.priority,
         shares=shares or (ServiceShare(wire.service, 1.0),),
         max_attempts=max(1, wire.max_attempts),
         public=wire.public,
         resumable=wire.stream_resume and kind is RouteKind.STREAM,
-        gap_target=wire.gap_aim_ms * MILLISECOND,
+        gap_target=wire.gap_aim_ms * SECONDS_PER_MS,
     )
 
 
@@ -225,11 +229,11 @@
         slots=wire.slots,
         memory_tokens=wire.memory_tokens,
         stride=max(1, wire.stride),
-        step_seconds=wire.step_ms * MILLISECOND,
-        step_per_stream=wire.per_seq_ms * MILLISECOND,
-        step_per_context_k=wire.context_per_k * MILLISECOND,
+        step_seconds=wire.step_ms * SECONDS_PER_MS,
+        step_per_stream=wire.per_seq_ms * SECONDS_PER_MS,
+        step_per_context_k=wire.context_per_k * SECONDS_PER_MS,
         prefill_rate=wire.read_per_s,
-        pair_cost=wire.pairs_per_m * MILLISECOND / MILLION,
+        pair_cost=wire.pairs_per_m * SECONDS_PER_MS / MILLION,
         chunk_tokens=wire.chunk,
-        hop_seconds=wire.hop_ms * MILLISECOND,
+        hop_seconds=wire.hop_ms * SECONDS_PER_MS,
     )
--- a/pondpin/platform/headers.py
+++ b/pondpin/platform/headers.py
@@ -1,4 +1,4 @@
-"""Translates requests to workers and answers of workers, header by header."""
+"""Translates the headers of requests to upstreams and of their responses."""
 
 from collections.abc import Callable, Iterable, Sequence
 
@@ -11,7 +11,7 @@
 
 ATTEMPT_ID = b"x-attempt-id"
 DEADLINE = b"x-deadline-ms"
-TOKENS = b"x-token-usage"
+TOKEN_USAGE = b"x-token-usage"
 RESUME_AFTER = b"last-event-id"
 TENANT = b"x-tenant"
 EXPECT_INSTANCE = b"x-expect-instance"
@@ -19,30 +19,30 @@
 HELPERS = b"helpers"
 LOAD = b"x-instance-load"
 NOT_EXECUTED = b"x-not-executed"
-# Not a name: the address of the worker, of those that a request was given, that failed it.
-AT_FAULT = b"at-server"
+# Address (not id) of the upstream that failed, among those assigned to the request.
+FAILED_ENDPOINT = b"at-server"
 SIGNATURE = b"x-instance-signature"
 INSTANCE = b"x-instance-id"
-# "1" in every answer of a worker that leaves; "Server" is no word of the product.
+# "1" in every response of an upstream that is shutting down.
 LEAVING = b"server-leaving"
-LEAVES = b"1"
-# The requests a second that the worker takes from all machines together, not its sender's share.
+LEAVING_VALUE = b"1"
+# Requests per second that the upstream accepts from all instances together.
 LIMIT = b"server-limit"
-# Workers' words of themselves begin so; the header of plain HTTP without a hyphen is none.
-WORDS = b"server-"
-KNOWN_WORDS = frozenset((LEAVING, LIMIT))
+# Prefix of headers about an upstream's state; HTTP's Server header has no hyphen.
+NOTICE_PREFIX = b"server-"
+KNOWN_NOTICES = frozenset((LEAVING, LIMIT))
 RETRY_AFTER = b"retry-after"
 DATE = b"date"
 BEARER = b"bearer "
 MISDIRECTED = 421
-MILLISECONDS = 1000.0
+MS_PER_SECOND = 1000.0
 
-# Headers that concern one connection only.
+# Hop-by-hop headers.
 CONNECTION_HEADERS = frozenset(
     (b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding",
      b"upgrade", b"content-length", b"expect", b"proxy-authorization", b"proxy-authenticate")
 )  # fmt: skip
-# Headers of a caller that never reach a worker: pondpin sets them itself, or keeps the key.
+# Caller headers that aren't kept: pondpin sets them, or keeps the API key.
 OWNED_HEADERS = frozenset(
     (b"authorization", DEADLINE, TENANT, EXPECT_INSTANCE, PRIORITY, HELPERS, b"expect-version")
 )
@@ -57,18 +57,18 @@
     return b""
 
 
-def _number(text: bytes) -> float | None:
+def _parse_number(text: bytes) -> float | None:
     try:
         return float(text)
     except ValueError:
         return None
 
 
-def _numbers(text: bytes) -> list[int]:
+def _parse_ints(text: bytes) -> list[int]:
     return [int(part) for part in text.split(b",") if part.strip().isdigit()]
 
 
-def _named_by_connection(headers: RawHeaders) -> set[bytes]:
+def _connection_options(headers: RawHeaders) -> set[bytes]:
     return {
         part.strip().lower()
         for key, value in headers
@@ -78,19 +78,19 @@
 
 
 class PlatformDialect:
-    """The product's Dialect for the platform's headers."""
+    """Implements Dialect for the platform's headers."""
 
     def read_request(self, headers: RawHeaders) -> RequestMetadata:
-        """What a caller's headers say; what is missing or no number is left at its default."""
+        """Parse a caller's headers; missing or invalid values keep their defaults."""
         bearer = _first(headers, b"authorization")
         key = bearer[len(BEARER) :].strip() if bearer.lower().startswith(BEARER) else b""
-        milliseconds = _number(_first(headers, DEADLINE))
-        tokens = _numbers(_first(headers, TOKENS))
+        milliseconds = _parse_number(_first(headers, DEADLINE))
+        tokens = _parse_ints(_first(headers, TOKEN_USAGE))
         return RequestMetadata(
             attempt_id=_first(headers, ATTEMPT_ID).decode("latin-1"),
             host=_first(headers, b"host").decode("latin-1").partition(":")[0].lower(),
             api_key=key.decode("latin-1"),
-            timeout=None if milliseconds is None else milliseconds / MILLISECONDS,
+            timeout=None if milliseconds is None else milliseconds / MS_PER_SECOND,
             prompt_tokens=tokens[0] if tokens else 0,
             answer_tokens=tokens[1] if len(tokens) > 1 else 0,
             resume_after=_first(headers, RESUME_AFTER).decode("latin-1"),
@@ -99,87 +99,89 @@
     def forward_headers(
         self, headers: RawHeaders, sent: ForwardMetadata
     ) -> list[tuple[bytes, bytes]]:
-        """The headers that a worker gets."""
-        dropped = CONNECTION_HEADERS | OWNED_HEADERS | _named_by_connection(headers)
+        """Build the headers of a request to an upstream."""
+        dropped = CONNECTION_HEADERS | OWNED_HEADERS | _connection_options(headers)
         if sent.resume_after:
             dropped = dropped | {RESUME_AFTER}
-        passed = [(key, value) for key, value in headers if key.lower() not in dropped]
-        milliseconds = max(1, int(sent.seconds_left * MILLISECONDS))
-        passed.append((b"X-Deadline-Ms", str(milliseconds).encode()))
-        passed.append((b"X-Expect-Instance", sent.upstream.encode()))
-        passed.append((b"Priority", str(sent.rank).encode()))
+        kept = [(key, value) for key, value in headers if key.lower() not in dropped]
+        milliseconds = max(1, int(sent.seconds_left * MS_PER_SECOND))
+        kept.append((b"X-Deadline-Ms", str(milliseconds).encode()))
+        kept.append((b"X-Expect-Instance", sent.upstream.encode()))
+        kept.append((b"Priority", str(sent.rank).encode()))
         if sent.account:
-            passed.append((b"X-Tenant", sent.account.encode()))
+            kept.append((b"X-Tenant", sent.account.encode()))
         if sent.resume_after:
-            passed.append((b"Last-Event-Id", sent.resume_after.encode()))
+            kept.append((b"Last-Event-Id", sent.resume_after.encode()))
         if sent.parts:
-            places = (
+            endpoints = (
                 f"{part.host}:{part.port}" + (f"/{part.lease}" if part.lease else "")
                 for part in sent.parts
             )
-            passed.append((b"Helpers", ",".join(places).encode()))
-        return passed
+            kept.append((b"Helpers", ",".join(endpoints).encode()))
+        return kept
 
     def read_head(self, status: int, headers: Iterable[tuple[bytes, bytes]]) -> ResponseHead:
-        """The head of a worker's answer, without what concerns its connection only."""
+        """Parse the head of a response, without its hop-by-hop headers."""
         raw = tuple(headers)
-        passed = tuple(pair for pair in raw if pair[0].lower() not in CONNECTION_HEADERS)
+        kept = tuple(pair for pair in raw if pair[0].lower() not in CONNECTION_HEADERS)
         content = _first(raw, b"content-type")
         return ResponseHead(
             status=status,
             attempt_id=_first(raw, ATTEMPT_ID).decode("latin-1"),
             not_executed=status == MISDIRECTED or bool(_first(raw, NOT_EXECUTED)),
-            load=_read_load(_first(raw, LOAD)),
+            load=_parse_load(_first(raw, LOAD)),
             is_event_stream=content.lower().startswith(b"text/event-stream"),
             signed=bool(_first(raw, SIGNATURE)),
-            failed_endpoint=_read_endpoint(_first(raw, AT_FAULT)),
+            failed_endpoint=_parse_endpoint(_first(raw, FAILED_ENDPOINT)),
             upstream_id=_first(raw, INSTANCE).decode("latin-1"),
             notice=response_notice(status, raw),
-            headers=passed,
-            unknown_headers=_unknown_words(raw),
+            headers=kept,
+            unknown_headers=_unknown_notices(raw),
         )
 
 
-def head_observer(hear: HeadCallback) -> Callable[[StreamedResponse], None]:
-    """Tells what an answer to a check, a report or an order says of its worker."""
+def head_observer(callback: HeadCallback) -> Callable[[StreamedResponse], None]:
+    """Make a handler that passes the parsed head of a response to callback."""
     read_head = PlatformDialect().read_head
-    return lambda start: hear(read_head(start.status, start.raw_headers))
+    return lambda response: callback(read_head(response.status, response.raw_headers))
 
 
 def response_notice(status: int, headers: RawHeaders) -> Notice:
-    """What any answer of a worker says of it, whatever was asked."""
+    """Parse the notice about its upstream that any response may carry."""
     names = {key.lower() for key, _ in headers}
     if not names & {LEAVING, LIMIT, RETRY_AFTER}:
         return EMPTY_NOTICE
-    asked = _all(headers, RETRY_AFTER)
-    leaves = any(key.lower() == LEAVING and value.strip() == LEAVES for key, value in headers)
+    retry_after = _all(headers, RETRY_AFTER)
+    is_leaving = any(
+        key.lower() == LEAVING and value.strip() == LEAVING_VALUE for key, value in headers
+    )
     date = _first(headers, DATE).decode("latin-1")
-    return parse_notice(status, leaves, asked, date, wall_now(), _all(headers, LIMIT))
+    return parse_notice(status, is_leaving, retry_after, date, wall_now(), _all(headers, LIMIT))
 
 
 def _all(headers: RawHeaders, name: bytes) -> list[str]:
     return [value.decode("latin-1") for key, value in headers if key.lower() == name]
 
 
-def _unknown_words(headers: RawHeaders) -> tuple[tuple[str, str], ...]:
-    """What a worker says of itself that nobody here has a use for."""
+def _unknown_notices(headers: RawHeaders) -> tuple[tuple[str, str], ...]:
+    """Headers about the upstream's state that pondpin doesn't know."""
     return tuple(
         (key.lower().decode("latin-1"), value.decode("latin-1"))
         for key, value in headers
-        if key.lower().startswith(WORDS) and key.lower() not in KNOWN_WORDS
+        if key.lower().startswith(NOTICE_PREFIX) and key.lower() not in KNOWN_NOTICES
     )
 
 
-def _read_endpoint(text: bytes) -> Endpoint | None:
-    """An address, None when there is none or it can't be read."""
+def _parse_endpoint(text: bytes) -> Endpoint | None:
+    """Parse an address; None if it is absent or invalid."""
     try:
         return parse_endpoint(text.decode("latin-1")) if text else None
     except ValueError:
         return None
 
 
-def _read_load(text: bytes) -> Load | None:
-    numbers = _numbers(text)
+def _parse_load(text: bytes) -> Load | None:
+    numbers = _parse_ints(text)
     if len(numbers) < 3:
         return None
     return Load(running=numbers[0], waiting=numbers[1], slots=numbers[2])
--- a/pondpin/platform/leases.py
+++ b/pondpin/platform/leases.py
@@ -1,4 +1,4 @@
-"""Sets memory aside at workers and gives it back."""
+"""Reserves and releases memory leases at upstreams."""
 
 import msgspec
 
@@ -7,12 +7,12 @@
 from pondpin.platform.headers import head_observer
 from pondpin.relay.ports import HeadCallback, LeaseResponse
 
-HELD = 200
+HELD_STATUS = 200
 ORDER_PATH = "/v1/order"
 
 
 class WireReserve(msgspec.Struct, frozen=True, rename="camel"):
-    """Sets memory aside; the same id again renews it."""
+    """Reserves memory; repeating the same id renews the lease."""
 
     op: str
     id: str
@@ -22,14 +22,14 @@
 
 
 class WireRelease(msgspec.Struct, frozen=True):
-    """Gives memory back."""
+    """Releases a lease."""
 
     op: str
     id: str
 
 
 class PlatformLeases:
-    """The product's LeasePort over the workers' order call."""
+    """Implements LeasePort over the upstreams' order call."""
 
     def __init__(self, http: HttpClient) -> None:
         self._http = http
@@ -42,19 +42,19 @@
         tokens: int,
         hold: float,
         timeout: float,
-        hear: HeadCallback,
+        on_head: HeadCallback,
     ) -> LeaseResponse:
-        """Set tokens aside for hold seconds, or renew; raises CallFailedError."""
+        """Reserve tokens for hold seconds, or renew the lease; raises CallFailedError."""
         order = WireReserve("reserve", lease, tokens, int(hold * 1000))
-        answer = await self._order(host, port, order, timeout, hear)
-        return LeaseResponse.HELD if answer == HELD else LeaseResponse.REFUSED
+        status = await self._order(host, port, order, timeout, on_head)
+        return LeaseResponse.HELD if status == HELD_STATUS else LeaseResponse.REFUSED
 
     async def release(
-        self, host: str, port: int, lease: str, timeout: float, hear: HeadCallback
+        self, host: str, port: int, lease: str, timeout: float, on_head: HeadCallback
     ) -> bool:
-        """Give memory back; False when the worker refused. Raises CallFailedError."""
+        """Release a lease; False if the upstream refused. Raises CallFailedError."""
         order = WireRelease("release", lease)
-        return await self._order(host, port, order, timeout, hear) == HELD
+        return await self._order(host, port, order, timeout, on_head) == HELD_STATUS
 
     async def _order(
         self,
@@ -62,19 +62,19 @@
         port: int,
         order: WireReserve | WireRelease,
         timeout: float,
-        hear: HeadCallback,
+        on_head: HeadCallback,
     ) -> int:
         url = f"http://{host}:{port}{ORDER_PATH}"
         headers = {"content-type": "application/json"}
         body = msgspec.json.encode(order)
-        answer = await self._http.call(
+        response = await self._http.call(
             "POST",
             url,
             headers,
             body,
             timeout,
-            on_head=head_observer(hear),
+            on_head=head_observer(on_head),
         )
-        if answer.status >= 500:
-            raise CallFailedError(f"status {answer.status}", sent=True)
-        return answer.status
+        if response.status >= 500:
+            raise CallFailedError(f"status {response.status}", sent=True)
+        return response.status
--- a/pondpin/platform/paths.py
+++ b/pondpin/platform/paths.py
@@ -1,3 +1,3 @@
-"""Paths that the platform calls."""
+"""HTTP paths that the platform requests."""
 
 READY_PATH = "/v1/readyz"
--- a/pondpin/platform/reports.py
+++ b/pondpin/platform/reports.py
@@ -1,4 +1,4 @@
-"""Reads workers' reports, and asks whether they are well."""
+"""Reads upstreams' load reports and checks their liveness."""
 
 import msgspec
 
@@ -13,7 +13,7 @@
 
 
 class WireReport(msgspec.Struct, frozen=True, rename="camel"):
-    """What a worker says of itself; `active` are the requests that it runs."""
+    """A load report; `active` counts the running requests."""
 
     active: int
     queued: int
@@ -21,44 +21,44 @@
 
 
 class PlatformReports:
-    """The product's ReportPort over the workers' report."""
+    """Implements ReportPort over the upstreams' report call."""
 
     def __init__(self, http: HttpClient) -> None:
         self._http = http
 
     async def read_report(
-        self, host: str, port: int, timeout: float, hear: HeadCallback
+        self, host: str, port: int, timeout: float, on_head: HeadCallback
     ) -> EngineReport:
-        """Ask a worker; raises CallFailedError when it gives no sound answer in time."""
-        answer = await self._http.call(
+        """Read a report; raises CallFailedError without a valid response in time."""
+        response = await self._http.call(
             "GET",
             f"http://{host}:{port}{REPORT_PATH}",
             timeout=timeout,
-            on_head=head_observer(hear),
+            on_head=head_observer(on_head),
         )
-        if answer.status != OK:
-            raise CallFailedError(f"status {answer.status}", sent=True)
+        if response.status != OK:
+            raise CallFailedError(f"status {response.status}", sent=True)
         try:
-            report = msgspec.json.decode(answer.body, type=WireReport)
+            report = msgspec.json.decode(response.body, type=WireReport)
         except msgspec.MsgspecError as error:
-            raise CallFailedError(f"no report: {error}", sent=True) from None
+            raise CallFailedError(f"invalid report: {error}", sent=True) from None
         return EngineReport(report.active, report.queued, report.born)
 
 
 class PlatformLiveness:
-    """The product's LivenessPort over the workers' liveness check."""
+    """Implements LivenessPort over the upstreams' liveness check."""
 
     def __init__(self, http: HttpClient) -> None:
         self._http = http
 
     async def is_healthy(
-        self, host: str, port: int, path: str, timeout: float, hear: HeadCallback
+        self, host: str, port: int, path: str, timeout: float, on_head: HeadCallback
     ) -> bool:
-        """Ask a worker; raises CallFailedError when it doesn't answer in time."""
-        answer = await self._http.call(
+        """Check an upstream; raises CallFailedError without a response in time."""
+        response = await self._http.call(
             "GET",
             f"http://{host}:{port}{path}",
             timeout=timeout,
-            on_head=head_observer(hear),
+            on_head=head_observer(on_head),
         )
-        return answer.status == OK
+        return response.status == OK
--- a/pondpin/platform/store.py
+++ b/pondpin/platform/store.py
@@ -1,4 +1,4 @@
-"""Reads the platform's store; each call is one HTTP call."""
+"""Reads the platform's key-value store over HTTP."""
 
 import base64
 from collections.abc import Callable, Mapping
@@ -19,31 +19,31 @@
 
 CONFIGURATION_KEY = "op/config"
 UPSTREAMS_PREFIX = "servers/"
-# A value of a megabyte over 1 Mbit/s; no link of a deployment is slower.
+# Enough for a value of a megabyte at 1 Mbit/s, the slowest link of a deployment.
 MAX_READ_SECONDS = 12.0
 NOT_FOUND = 404
-# Headers by which the store says something of itself begin with this.
+# Prefix of headers about the store's own state.
 STORE_HEADER_PREFIX = "store-"
-# Rises by one with each restore of the store from an older copy.
+# Rises by one with each restore of the store from a backup.
 EPOCH_HEADER = "store-era"
-MOST_EPOCH = 2**63 - 1
-# Epochs rise by one: more digits are none, however many there are.
-MOST_EPOCH_DIGITS = len(str(MOST_EPOCH))
+MAX_EPOCH = 2**63 - 1
+# Epochs rise by one: a longer number is invalid and isn't converted.
+MAX_EPOCH_DIGITS = len(str(MAX_EPOCH))
 HISTORY_GONE = 410
 
 
 class WireItem(msgspec.Struct, frozen=True):
-    """An item; tlsKey is its key and has nothing to do with TLS; value is in base64."""
+    """An item; tlsKey is its key (unrelated to TLS); value is base64."""
 
     key: str = msgspec.field(name="tlsKey")
     value: str = ""
     revision: int = 0
-    # Told by a watch of an item that was taken away.
+    # Set by a watch for a deleted item.
     gone: bool = False
 
 
 class WireRange(msgspec.Struct, frozen=True):
-    """A page of items; more says that another page follows; at is the store's revision."""
+    """A page of items; more: another page follows; at: the store's revision."""
 
     items: tuple[WireItem, ...]
     at: int
@@ -51,7 +51,7 @@
 
 
 class WireRawRange(msgspec.Struct, frozen=True):
-    """A page whose items are looked at one by one, since one of them is odd."""
+    """A page whose items are decoded one by one, as one is invalid."""
 
     items: tuple[msgspec.Raw, ...]
     at: int
@@ -59,7 +59,7 @@
 
 
 class WireEvents(msgspec.Struct, frozen=True):
-    """What changed under a prefix, in order, up to the store's revision at."""
+    """Changes under a prefix, in order, up to revision at."""
 
     events: tuple[WireItem, ...]
     at: int
@@ -77,9 +77,9 @@
 
 
 def _decode_page(body: bytes) -> WireRange:
-    """A page of entries; raises ValueError for what is no page.
+    """Decode a page of entries; raises ValueError if it is no page.
 
-    One item that can't be read doesn't hide the others.
+    Invalid items are skipped, so that they don't hide the others.
     """
     try:
         return _RANGE.decode(body)
@@ -90,13 +90,13 @@
         try:
             items.append(_ITEM.decode(item))
         except ValueError:
-            # It names no key to refuse a value of.
+            # Without a key, there is no entry to reject.
             continue
     return WireRange(tuple(items), raw.at, raw.more)
 
 
 def _decode_entry(wire: WireItem, epoch: int) -> PublishedItem:
-    """An entry; a value that isn't base64 is passed on as none, which is refused by its key."""
+    """Decode an entry; a value that isn't base64 becomes empty, which is rejected by its key."""
     try:
         return _decode_item(wire, epoch)
     except ValueError:
@@ -104,9 +104,9 @@
 
 
 class PlatformStore:
-    """The product's PublishedSource over the platform's store.
+    """Implements PublishedSource over the platform's store.
 
-    stall is how many seconds may pass without a byte; a large value may take longer as a whole.
+    stall is the maximum number of seconds without a byte, not of the whole read.
     """
 
     def __init__(
@@ -115,86 +115,86 @@
         address: str,
         on_head: Callable[[SourceHead], None] = lambda head: None,
     ) -> None:
-        """on_head: receives what the head of each answer says, whatever its status."""
+        """on_head: called with the head of each response, whatever its status."""
         self._http = http
         self._on_head = on_head
         self._base = f"http://{address}/v1"
 
     async def read_configuration(self, stall: float) -> ConfigurationRead:
-        """The newest configuration; raises CallFailedError."""
-        answer = await self._get(f"kv-key?tlsKey={CONFIGURATION_KEY}", stall)
-        epoch = parse_source_head(answer.headers).epoch
-        if answer.status == NOT_FOUND:
+        """Read the newest configuration; raises CallFailedError."""
+        response = await self._get(f"kv-key?tlsKey={CONFIGURATION_KEY}", stall)
+        epoch = parse_source_head(response.headers).epoch
+        if response.status == NOT_FOUND:
             return ConfigurationRead(None, epoch)
-        _check_status(answer.status)
+        _check_status(response.status)
         try:
-            return ConfigurationRead(_decode_item(_ITEM.decode(answer.body), epoch), epoch)
+            return ConfigurationRead(_decode_item(_ITEM.decode(response.body), epoch), epoch)
         except ValueError as error:
-            raise CallFailedError(f"no item: {error}", sent=True) from None
+            raise CallFailedError(f"invalid item: {error}", sent=True) from None
 
     async def read_change(self, since: int, stall: float) -> ConfigurationChange:
-        """What became of the configuration after a revision; raises CallFailedError."""
+        """Read the last change after a revision; raises CallFailedError."""
         query = f"pathPrefix={CONFIGURATION_KEY}&sinceRevision={since}&waitMs=0"
-        answer = await self._get(f"kv-watch?{query}", stall)
-        epoch = parse_source_head(answer.headers).epoch
-        if answer.status == HISTORY_GONE:
+        response = await self._get(f"kv-watch?{query}", stall)
+        epoch = parse_source_head(response.headers).epoch
+        if response.status == HISTORY_GONE:
             return ConfigurationChange(None, None, epoch)
-        _check_status(answer.status)
+        _check_status(response.status)
         try:
-            found = _EVENTS.decode(answer.body)
-            written = [item for item in found.events if item.key == CONFIGURATION_KEY]
-            if any(item.gone for item in written):
+            changes = _EVENTS.decode(response.body)
+            writes = [item for item in changes.events if item.key == CONFIGURATION_KEY]
+            if any(item.gone for item in writes):
                 return ConfigurationChange(None, None, epoch)
-            newest = _decode_item(written[-1], epoch) if written else None
+            newest = _decode_item(writes[-1], epoch) if writes else None
         except ValueError as error:
-            raise CallFailedError(f"no events: {error}", sent=True) from None
-        return ConfigurationChange(newest, found.at, epoch)
+            raise CallFailedError(f"invalid events: {error}", sent=True) from None
+        return ConfigurationChange(newest, changes.at, epoch)
 
     async def read_upstreams(self, stall: float) -> ListRead:
-        """All entries of workers, in the order of their keys; raises CallFailedError.
+        """Read all upstream entries, in key order; raises CallFailedError.
 
-        Pages of two epochs are no list: raises EpochChangedError.
+        Raises EpochChangedError if the pages are of different epochs.
         """
         items: list[PublishedItem] = []
-        at: int | None = None
+        revision: int | None = None
         epoch: int | None = None
         start = ""
         while True:
-            answer = await self._get(f"kv-range?pathPrefix={UPSTREAMS_PREFIX}{start}", stall)
-            _check_status(answer.status)
+            response = await self._get(f"kv-range?pathPrefix={UPSTREAMS_PREFIX}{start}", stall)
+            _check_status(response.status)
             try:
-                page = _decode_page(answer.body)
+                page = _decode_page(response.body)
             except ValueError as error:
-                raise CallFailedError(f"no range: {error}", sent=True) from None
-            page_epoch = parse_source_head(answer.headers).epoch
+                raise CallFailedError(f"invalid range: {error}", sent=True) from None
+            page_epoch = parse_source_head(response.headers).epoch
             epoch = page_epoch if epoch is None else epoch
             if page_epoch != epoch:
                 raise EpochChangedError(epoch, page_epoch)
             items += [_decode_entry(item, epoch) for item in page.items]
-            # Pages are no snapshot: what the first one says holds for all.
-            at = page.at if at is None else at
+            # Pages aren't one snapshot: only the first one's revision holds for all.
+            revision = page.at if revision is None else revision
             if not page.more or not page.items:
-                return ListRead(tuple(items), at, epoch)
-            # The next page starts after the last key; the name of the field is the store's.
+                return ListRead(tuple(items), revision, epoch)
+            # The next page starts after the last key; the store names the parameter so.
             start = f"&sinceRevision={quote(page.items[-1].key, safe='/')}"
 
-    async def _get(self, call: str, stall: float) -> HttpResponse:
-        url = f"{self._base}/{call}"
+    async def _get(self, path: str, stall: float) -> HttpResponse:
+        url = f"{self._base}/{path}"
         return await self._http.call_with_stall_timeout(
-            "GET", url, stall, MAX_READ_SECONDS, self._receive_head
+            "GET", url, stall, MAX_READ_SECONDS, self._observe_head
         )
 
-    def _receive_head(self, start: StreamedResponse) -> None:
-        self._on_head(parse_source_head(start.headers))
+    def _observe_head(self, response: StreamedResponse) -> None:
+        self._on_head(parse_source_head(response.headers))
 
 
 def parse_source_head(headers: Mapping[str, str]) -> SourceHead:
-    """What an answer of any status says of the store."""
-    told = headers.get(EPOCH_HEADER)
-    epoch = 0 if told is None else _read_epoch(told)
+    """Parse what a response of any status reports about the store."""
+    text = headers.get(EPOCH_HEADER)
+    epoch = 0 if text is None else _parse_epoch(text)
     return SourceHead(
         epoch=epoch or 0,
-        odd_epoch="" if epoch is not None else told or "an empty value",
+        odd_epoch="" if epoch is not None else text or "an empty value",
         unknown=tuple(
             (name, value)
             for name, value in headers.items()
@@ -203,13 +203,13 @@
     )
 
 
-def _read_epoch(text: str) -> int | None:
-    """An epoch; None for anything but the digits of a number that a machine word holds."""
+def _parse_epoch(text: str) -> int | None:
+    """Parse an epoch; None unless it is a decimal number that fits in 63 bits."""
     digits = text.strip()
-    if not (digits.isascii() and digits.isdecimal()) or len(digits) > MOST_EPOCH_DIGITS:
+    if not (digits.isascii() and digits.isdecimal()) or len(digits) > MAX_EPOCH_DIGITS:
         return None
     epoch = int(digits)
-    return epoch if epoch <= MOST_EPOCH else None
+    return epoch if epoch <= MAX_EPOCH else None
 
 
 def _check_status(status: int) -> None:
