--- a/pondpin/controllers/peers.py
+++ b/pondpin/controllers/peers.py
@@ -1,4 +1,4 @@
-"""Heartbeats between entry instances, and the calls that they serve for each other."""
+"""Heartbeats between entry instances, and the peer calls that they serve for each other."""
 
 import asyncio
 import random
@@ -42,19 +42,19 @@
 )
 
 PROTOCOL_VERSION = 1
-FORGET_SECONDS = 600.0
+PEER_EXPIRY_SECONDS = 600.0
 ENTRY_KIND = "entry"
 LEAVING = "leaving"
-FAILURES = (GRPCError, StreamTerminatedError, OSError, TimeoutError, asyncio.TimeoutError)
+CALL_ERRORS = (GRPCError, StreamTerminatedError, OSError, TimeoutError, asyncio.TimeoutError)
 
 
 class PeerPort(Protocol):
-    """Calls to one peer, by its address; they raise PeerUnreachableError."""
+    """Calls to a peer by its address; they raise PeerUnreachableError."""
 
     async def heartbeat(
         self, address: str, request: HeartbeatRequest, timeout: float
     ) -> HeartbeatReply:
-        """Tell of oneself and hear of the peer."""
+        """Exchange heartbeats with the peer."""
         ...
 
     async def fetch_configuration(
@@ -64,7 +64,7 @@
         ...
 
     async def forward(self, address: str, request: ForwardRequest, timeout: float) -> ForwardReply:
-        """Have the peer run a call that carries its token."""
+        """Forward a call that carries the peer's token to it."""
         ...
 
     async def explain(self, address: str, request: ExplainRequest, timeout: float) -> ExplainReply:
@@ -73,18 +73,18 @@
 
 
 class GrpcPeerClient:
-    """PeerPort over grpclib, one channel for each peer."""
+    """Implements PeerPort over grpclib, with one channel per peer."""
 
     def __init__(self, metrics: Metrics, ssl_context: Callable[[], object | None]) -> None:
         self._metrics = metrics
         self._ssl_context = ssl_context
         self._channels_by_address: dict[str, Channel] = {}
-        # Addresses that experiments cut off: calls to them fail as on a broken network.
+        # Addresses that experiments partition: calls to them fail as on a broken network.
         self.blocked_addresses: set[str] = set()
 
     def _stub(self, address: str) -> PeerStub:
         if address in self.blocked_addresses:
-            raise PeerUnreachableError("cut off")
+            raise PeerUnreachableError("partitioned")
         channel = self._channels_by_address.get(address)
         if channel is None:
             endpoint = parse_endpoint(address)
@@ -93,7 +93,7 @@
             self._channels_by_address[address] = channel
         return PeerStub(channel)
 
-    def _count(self, sent: int, received: int) -> None:
+    def _count_bytes(self, sent: int, received: int) -> None:
         self._metrics.peer_bytes.add({"direction": "out"}, sent)
         self._metrics.peer_bytes.add({"direction": "in"}, received)
 
@@ -103,9 +103,9 @@
         """See PeerPort."""
         try:
             reply = await self._stub(address).Heartbeat(request, timeout=timeout)
-        except FAILURES as error:
+        except CALL_ERRORS as error:
             raise PeerUnreachableError(type(error).__name__) from None
-        self._count(request.ByteSize(), reply.ByteSize())
+        self._count_bytes(request.ByteSize(), reply.ByteSize())
         return reply
 
     async def fetch_configuration(
@@ -114,32 +114,32 @@
         """See PeerPort."""
         try:
             reply = await self._stub(address).FetchConfiguration(request, timeout=timeout)
-        except FAILURES as error:
+        except CALL_ERRORS as error:
             raise self._unreachable(address, error) from None
-        self._count(request.ByteSize(), reply.ByteSize())
+        self._count_bytes(request.ByteSize(), reply.ByteSize())
         return reply
 
     def _unreachable(self, address: str, error: BaseException) -> PeerUnreachableError:
         if isinstance(error, TimeoutError):
-            self._drop(address)
+            self._close_channel(address)
         return PeerUnreachableError(type(error).__name__)
 
     async def forward(self, address: str, request: ForwardRequest, timeout: float) -> ForwardReply:
         """See PeerPort."""
         try:
             return await self._stub(address).Forward(request, timeout=timeout)
-        except FAILURES as error:
+        except CALL_ERRORS as error:
             raise PeerUnreachableError(type(error).__name__) from None
 
     async def explain(self, address: str, request: ExplainRequest, timeout: float) -> ExplainReply:
         """See PeerPort."""
         try:
             return await self._stub(address).Explain(request, timeout=timeout)
-        except FAILURES as error:
+        except CALL_ERRORS as error:
             raise PeerUnreachableError(type(error).__name__) from None
 
-    def _drop(self, address: str) -> None:
-        """Close a channel that may be silent for good; the next call opens another one."""
+    def _close_channel(self, address: str) -> None:
+        """Close a channel that may never respond again; the next call opens another."""
         channel = self._channels_by_address.pop(address, None)
         if channel is not None:
             channel.close()
@@ -153,7 +153,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceStatus:
-    """What this instance tells of itself."""
+    """The state of this instance that heartbeats carry."""
 
     revision: int
     ready: bool
@@ -165,7 +165,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatSettings:
-    """How often heartbeats go out (seconds), to how many, and the fewest rounds of silence."""
+    """Period of heartbeats (s), peers per round, and the minimum of silent rounds before a loss."""
 
     period: float
     fan_out: int
@@ -173,100 +173,102 @@
 
 
 class PeerRegistry:
-    """The table of peers, and the building and taking of heartbeats."""
+    """The peer table; builds and applies heartbeats."""
 
     def __init__(
         self,
         identity: Identity,
         address: str,
-        report: Callable[[], InstanceStatus],
-        on_heard: Callable[[HeartbeatRequest], None],
+        status: Callable[[], InstanceStatus],
+        on_heartbeat_received: Callable[[HeartbeatRequest], None],
         clock: Clock,
-        rhythm: HeartbeatSettings,
+        settings: HeartbeatSettings,
     ) -> None:
         self.identity = identity
         self._address = address
-        self._report = report
-        self._on_heard = on_heard
+        self._status = status
+        self._on_heartbeat = on_heartbeat_received
         self._clock = clock
-        self._rhythm = rhythm
+        self._settings = settings
         self.table: PeerTable = {}
 
     @property
     def lost_after_seconds(self) -> float:
-        """Seconds of silence after which a peer counts as lost."""
-        rhythm = self._rhythm
+        """Seconds without a heartbeat after which a peer counts as lost."""
+        settings = self._settings
         return silence_allowed(
-            len(self.table), rhythm.fan_out, rhythm.period, rhythm.min_silent_rounds
+            len(self.table), settings.fan_out, settings.period, settings.min_silent_rounds
         )
 
     def build_heartbeat(self) -> HeartbeatRequest:
-        """A heartbeat of this instance."""
-        report = self._report()
+        """Build a heartbeat of this instance."""
+        status = self._status()
         return HeartbeatRequest(
             protocol_version=PROTOCOL_VERSION,
             instance=self.identity.instance,
             incarnation=self.identity.incarnation,
             data_center=self.identity.data_center,
-            revision=report.revision,
-            ready=report.ready,
-            draining=report.draining,
-            leaving_upstreams=report.leaving_upstreams,
-            usage=report.usage,
+            revision=status.revision,
+            ready=status.ready,
+            draining=status.draining,
+            leaving_upstreams=status.leaving_upstreams,
+            usage=status.usage,
             address=self._address,
-            ended_lives=report.ended_lives,
+            ended_lives=status.ended_lives,
         )
 
-    def apply_heartbeat(self, heard: HeartbeatRequest) -> None:
-        """Take a heartbeat of a peer."""
-        if heard.instance == self.identity.instance:
+    def apply_heartbeat(self, heartbeat: HeartbeatRequest) -> None:
+        """Apply a peer's heartbeat to the table."""
+        if heartbeat.instance == self.identity.instance:
             return
         now = self._clock()
-        known = self.table.get(heard.instance)
+        known = self.table.get(heartbeat.instance)
         was_alive = known is not None and is_alive(known, now, self.lost_after_seconds)
         peer = Peer(
-            name=heard.instance,
-            address=heard.address,
-            data_center=heard.data_center,
-            incarnation=heard.incarnation,
-            revision=heard.revision,
-            ready=heard.ready,
-            draining=heard.draining,
+            name=heartbeat.instance,
+            address=heartbeat.address,
+            data_center=heartbeat.data_center,
+            incarnation=heartbeat.incarnation,
+            revision=heartbeat.revision,
+            ready=heartbeat.ready,
+            draining=heartbeat.draining,
             heard_at=now,
         )
         self.table = note_heartbeat(self.table, peer)
         if not was_alive:
-            logging.info("peer %s heard, incarnation %d", heard.instance, heard.incarnation)
-        self._on_heard(heard)
+            logging.info(
+                "peer %s is alive, incarnation %d", heartbeat.instance, heartbeat.incarnation
+            )
+        self._on_heartbeat(heartbeat)
 
     def apply_list(self, listed: Iterable[Peer]) -> None:
-        """Take the platform's list."""
+        """Apply the platform's list of instances."""
         others = (peer for peer in listed if peer.name != self.identity.instance)
         self.table = note_list(self.table, others)
 
     def newest_incarnation(self, instance: str) -> int:
-        """The newest known incarnation of an instance, 0 when unknown."""
+        """The newest known incarnation of an instance; 0 if unknown."""
         if instance == self.identity.instance:
             return self.identity.incarnation
         peer = self.table.get(instance)
         return peer.incarnation if peer is not None else 0
 
     def live_peers(self) -> list[Peer]:
-        """Peers heard from lately."""
+        """Peers that aren't lost."""
         return alive_peers(self.table, self._clock(), self.lost_after_seconds)
 
     def expire(self) -> None:
-        """Drop peers that are long gone."""
-        self.table = forget_lost(self.table, self._clock(), FORGET_SECONDS)
+        """Remove peers that have been lost for PEER_EXPIRY_SECONDS."""
+        self.table = forget_lost(self.table, self._clock(), PEER_EXPIRY_SECONDS)
 
-    def addresses(self, known: Iterable[str]) -> list[str]:
-        """Where peers may be: those in the table, and those of the settings."""
-        found = [peer.address for peer in self.table.values() if peer.address]
-        return sorted({*found, *known} - {self._address})
+    def addresses(self, seeds: Iterable[str]) -> list[str]:
+        """Addresses of peers: those in the table and the configured seeds."""
+        addresses = [peer.address for peer in self.table.values() if peer.address]
+        return sorted({*addresses, *seeds} - {self._address})
 
 
 class HeartbeatController(Controller):
-    """Sends heartbeats to a random few peers each period, and fetches newer configurations."""
+    """Sends heartbeats to random peers each period, and fetches newer configurations."""
 
     def __init__(
         self,
@@ -282,59 +284,59 @@
     ) -> None:
         super().__init__()
         self.period = period
-        self._book = registry
+        self._registry = registry
         self._peers = peers
-        self._known = seed_addresses
+        self._seed_addresses = seed_addresses
         self._fan_out = fan_out
         self._random = rng
         self._seen_revision = seen_revision
-        self._offer = apply_configuration
+        self._apply_configuration = apply_configuration
         self._metrics = metrics
         self._fetching = False
-        self._extra: set[asyncio.Task[None]] = set()
+        self._extra_tasks: set[asyncio.Task[None]] = set()
         self._timeout = max(1.0, period)
 
     async def step(self) -> None:
-        """One round."""
-        addresses = self._book.addresses(self._known)
+        """Send one round of heartbeats."""
+        addresses = self._registry.addresses(self._seed_addresses)
         chosen = self._random.sample(addresses, min(self._fan_out, len(addresses)))
-        await asyncio.gather(*(self._beat(address) for address in chosen))
-        self._book.expire()
-        self._metrics.peers_alive.set({}, len(self._book.live_peers()))
+        await asyncio.gather(*(self._send_heartbeat(address) for address in chosen))
+        self._registry.expire()
+        self._metrics.peers_alive.set({}, len(self._registry.live_peers()))
 
-    async def _beat(self, address: str) -> None:
+    async def _send_heartbeat(self, address: str) -> None:
         try:
             reply = await self._peers.heartbeat(
-                address, self._book.build_heartbeat(), self._timeout
+                address, self._registry.build_heartbeat(), self._timeout
             )
         except PeerUnreachableError:
             return
-        self._book.apply_heartbeat(reply.peer)
+        self._registry.apply_heartbeat(reply.peer)
         if reply.peer.revision > self._seen_revision():
             await self.fetch_newer(address)
 
-    def on_heartbeat(self, heard: HeartbeatRequest) -> None:
-        """A peer's heartbeat came in: fetch what it has that is newer."""
-        if heard.revision > self._seen_revision():
-            self._spawn(self.fetch_newer(heard.address))
+    def on_heartbeat(self, heartbeat: HeartbeatRequest) -> None:
+        """Fetch the configuration of a peer whose heartbeat shows a newer one."""
+        if heartbeat.revision > self._seen_revision():
+            self._spawn(self.fetch_newer(heartbeat.address))
 
     def run_extra_round(self) -> None:
-        """Tell of news at once, in a round out of turn."""
+        """Start a round of heartbeats now, to report a change early."""
         self._spawn(self.step())
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
-        self._extra.add(task)
-        task.add_done_callback(self._extra.discard)
+        self._extra_tasks.add(task)
+        task.add_done_callback(self._extra_tasks.discard)
 
     async def stop(self) -> None:
-        """Stop, and end what runs out of turn."""
+        """Stop, and cancel extra rounds and fetches."""
         await super().stop()
-        for task in list(self._extra):
+        for task in list(self._extra_tasks):
             task.cancel()
 
     async def fetch_newer(self, address: str) -> None:
-        """Fetch a peer's configuration, one fetch at a time."""
+        """Fetch a peer's configuration, unless a fetch is in progress."""
         if self._fetching:
             return
         self._fetching = True
@@ -342,7 +344,7 @@
             request = FetchConfigurationRequest(above_revision=self._seen_revision())
             reply = await self._peers.fetch_configuration(address, request, self._timeout * 3)
             if reply.revision > self._seen_revision():
-                self._offer(reply.revision, reply.document)
+                self._apply_configuration(reply.revision, reply.document)
         except PeerUnreachableError:
             return
         finally:
@@ -350,7 +352,7 @@
 
 
 class InstanceListController(Controller):
-    """Reads the platform's list of live and leaving instances."""
+    """Reads the platform's list of instances, live and leaving."""
 
     def __init__(
         self,
@@ -362,11 +364,11 @@
         super().__init__()
         self.period = period
         self._platform = platform
-        self._book = book
+        self._registry = book
         self._mark_upstream = mark_upstream
 
     async def step(self) -> None:
-        """Read the list; when the platform is away, the last one stays."""
+        """Read the list; if the platform is unreachable, the last one stays."""
         try:
             listed = await self._platform.instances(self.period + 1.0)
         except CallFailedError:
@@ -376,14 +378,14 @@
             for item in listed.instances
             if item.kind == ENTRY_KIND
         ]
-        self._book.apply_list(peers)
+        self._registry.apply_list(peers)
         for item in listed.instances:
             if item.kind != ENTRY_KIND:
                 self._mark_upstream(item.name, item.state == LEAVING)
 
 
 def find_peer(book: PeerRegistry, instance: str, incarnation: int) -> Peer | None:
-    """The peer that is this very incarnation of an instance, None when it is not known."""
+    """The peer with this instance name and incarnation; None if unknown."""
     peer = book.table.get(instance)
     if peer is None or peer.incarnation != incarnation:
         return None
--- a/pondpin/filters/__init__.py
+++ b/pondpin/filters/__init__.py
@@ -1,1 +1,1 @@
-"""The filter chain: each module is one step on the way of a request."""
+"""The filter chain: each module is one step of request processing."""
--- a/pondpin/filters/at_most_once.py
+++ b/pondpin/filters/at_most_once.py
@@ -1,4 +1,4 @@
-"""Runs a call that carries a token at its issuer alone, and at most once."""
+"""Runs a call with a call token only at the token's issuer, and at most once."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,15 +23,15 @@
 
 
 class Forwarder(Protocol):
-    """Sends a call to the issuer of its token."""
+    """Forwards calls to the issuers of their tokens."""
 
     async def forward(self, call: Call, token: CallToken) -> Outcome:
-        """The issuer's outcome; raises PondpinError, with ISSUER_GONE when it can't be reached."""
+        """Return the issuer's outcome; raises PondpinError (ISSUER_GONE: unreachable)."""
         ...
 
 
 class TokenIssuer:
-    """Issues tokens of this incarnation, until the instance stops."""
+    """Issues call tokens of this incarnation until the instance stops."""
 
     def __init__(
         self, identity: Identity, table: OnceTable, signer: Signer, wall_clock: WallClock
@@ -43,7 +43,7 @@
         self.stopped = False
 
     def issue(self, account: str, revision: int) -> str:
-        """A new token for an account; raises PondpinError while stopping."""
+        """Issue a token to an account; raises PondpinError while stopping."""
         if self.stopped:
             raise PondpinError(Code.DRAINING, retry_after=1.0)
         token = CallToken(
@@ -57,24 +57,24 @@
         return sign_token(self._signer, token)
 
     def is_own(self, token: CallToken) -> bool:
-        """Whether this very incarnation issued the token."""
-        mine = (self._identity.instance, self._identity.incarnation)
-        return (token.instance, token.incarnation) == mine
+        """Whether this incarnation issued the token."""
+        own = (self._identity.instance, self._identity.incarnation)
+        return (token.instance, token.incarnation) == own
 
     def read(self, text: str) -> CallToken:
-        """Check and read a token; raises PondpinError."""
+        """Verify and decode a token; raises PondpinError."""
         return read_token(self._signer, text)
 
 
 @dataclass
-class _Running:
-    """Those who wait for a call that another try already began."""
+class _RunningCall:
+    """A call in progress, which repeated calls with its token wait for."""
 
     ended: "asyncio.Future[None]"
 
 
 class AtMostOnceFilter:
-    """Sends a token's call to its issuer, or answers a second try from what became of the first."""
+    """Forwards a call to its token's issuer, or answers a repeated call with the first result."""
 
     def __init__(
         self,
@@ -87,14 +87,14 @@
         self._forwarder = forwarder
         self._metrics = metrics
         self._on_revision = on_revision
-        self._running_by_number: dict[int, _Running] = {}
+        self._running_by_number: dict[int, _RunningCall] = {}
 
     async def apply(self, call: Call, proceed: Proceed) -> Outcome:
         """See Filter."""
         if not call.token:
             return await proceed(call)
         token = self._issuer.read(call.token)
-        # Signed by a peer: that revision was in force somewhere.
+        # The signature proves that the revision was in force at a peer.
         self._on_revision(token.revision)
         if token.account != call.account_name:
             raise PondpinError(Code.TOKEN_INVALID, "the token belongs to another account")
@@ -106,17 +106,17 @@
         except PondpinError as error:
             error.covers_earlier_attempts = True
             if error.ran is Ran.NOT_RUN:
-                self._close(token.sequence)
+                self._close_token(token.sequence)
             raise
 
-    def _close(self, number: int) -> None:
-        """The caller will be told 'not run': from now on that can't become untrue."""
+    def _close_token(self, number: int) -> None:
+        """Close the token, so that 'not run', which the caller gets, stays true."""
         if self._issuer.table.stage(number) is not Stage.CLOSED:
             self._issuer.table.close(number)
             self._metrics.call_tokens.inc({"result": "not run"})
 
     async def _run_own(self, call: Call, number: int, proceed: Proceed) -> Outcome:
-        """Answer by the stage of the call; the first try goes on."""
+        """Answer by the stage of the token; the first call with it runs."""
         running = self._running_by_number.get(number)
         while running is not None:
             await asyncio.shield(running.ended)
@@ -130,11 +130,11 @@
             case Stage.FORGOTTEN:
                 raise PondpinError(Code.ANSWER_FORGOTTEN, ran=Ran.RAN)
             case _:
-                return await self._first_try(call, number, proceed)
+                return await self._run_first(call, number, proceed)
 
-    async def _first_try(self, call: Call, number: int, proceed: Proceed) -> Outcome:
+    async def _run_first(self, call: Call, number: int, proceed: Proceed) -> Outcome:
         ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._running_by_number[number] = _Running(ended)
+        self._running_by_number[number] = _RunningCall(ended)
         try:
             return await proceed(replace(call, token_number=number))
         finally:
@@ -142,17 +142,17 @@
             ended.set_result(None)
 
 
-def replay(kept: KeptAnswer) -> Outcome:
-    """The outcome of a call, again, for a caller who asks again."""
-    if kept.ran is Ran.UNKNOWN:
+def replay(stored: KeptAnswer) -> Outcome:
+    """Rebuild the outcome of a call for a repeated call."""
+    if stored.ran is Ran.UNKNOWN:
         raise PondpinError(Code.OUTCOME_UNKNOWN, ran=Ran.UNKNOWN)
-    answer = WholeAnswer(kept.status, kept.content_type, kept.body)
+    answer = WholeAnswer(stored.status, stored.content_type, stored.body)
     headers = {GUARANTEE_HEADER: BY_TOKEN, REPLAY_HEADER: "yes"}
     return Outcome(Code.OK, Ran.RAN, answer, headers=headers)
 
 
 class TokenResultFilter:
-    """Marks a token as spent just before its call can be sent, and keeps what became of it."""
+    """Marks a token as spent just before its call can be sent, and stores the call's result."""
 
     def __init__(self, table: OnceTable, metrics: InterfaceMetrics, clock: Clock) -> None:
         self._table = table
@@ -170,20 +170,20 @@
         try:
             outcome = await proceed(call)
         except PondpinError as error:
-            self._after_error(number, error)
+            self._record_error(number, error)
             raise
         except BaseException:
-            self._keep(number, WholeAnswer(0, "", b""), Ran.UNKNOWN)
+            self._record_response(number, WholeAnswer(0, "", b""), Ran.UNKNOWN)
             raise
         assert outcome.answer is not None, "a service call has a whole answer"
-        self._keep(number, outcome.answer, Ran.RAN)
+        self._record_response(number, outcome.answer, Ran.RAN)
         return replace(outcome, headers=outcome.headers | {GUARANTEE_HEADER: BY_TOKEN})
 
-    def _after_error(self, number: int, error: PondpinError) -> None:
+    def _record_error(self, number: int, error: PondpinError) -> None:
         if error.ran is not Ran.NOT_RUN:
-            self._keep(number, WholeAnswer(0, "", b""), Ran.UNKNOWN)
+            self._record_response(number, WholeAnswer(0, "", b""), Ran.UNKNOWN)
 
-    def _keep(self, number: int, answer: WholeAnswer, ran: Ran) -> None:
-        kept = KeptAnswer(answer.status, answer.content_type, answer.body, ran, self._clock())
-        self._table.finish(number, kept)
+    def _record_response(self, number: int, answer: WholeAnswer, ran: Ran) -> None:
+        stored = KeptAnswer(answer.status, answer.content_type, answer.body, ran, self._clock())
+        self._table.finish(number, stored)
         self._metrics.call_tokens.inc({"result": ran.value})
--- a/pondpin/filters/authentication.py
+++ b/pondpin/filters/authentication.py
@@ -1,4 +1,4 @@
-"""Finds the client account by the API key of a call."""
+"""Authenticates calls: finds the client account of their API key."""
 
 import hashlib
 import hmac
@@ -8,11 +8,11 @@
 from pondpin.codes import Code
 from pondpin.errors import PondpinError
 
-SCHEME = "bearer"
+BEARER_SCHEME = "bearer"
 
 
 class AuthenticationFilter:
-    """Refuses calls whose key belongs to no account."""
+    """Rejects calls whose API key belongs to no account."""
 
     def __init__(self) -> None:
         self._revision = -1
@@ -28,21 +28,21 @@
         return await proceed(replace(call, account_name=name, account=account))
 
     def find_account(self, snapshot: Snapshot, header: str) -> str | None:
-        """The account of an Authorization header, or None."""
+        """The account of an Authorization header; None if the key is unknown."""
         scheme, _, key = header.partition(" ")
-        if scheme.lower() != SCHEME or not key:
+        if scheme.lower() != BEARER_SCHEME or not key:
             return None
-        self._follow(snapshot)
+        self._index_keys(snapshot)
         digest = hashlib.sha256(key.strip().encode("utf-8", "replace")).hexdigest()
         name = self._account_by_hash.get(digest)
         if name is None:
             return None
-        kept = snapshot.configuration.accounts[name].keys_sha256
-        # The lookup is by hash, so its time tells nothing of the key; compare in constant time.
-        same = [hmac.compare_digest(digest, item) for item in kept]
-        return name if any(same) else None
+        account_digests = snapshot.configuration.accounts[name].keys_sha256
+        # A lookup by hash leaks nothing about the key by its timing; compare in constant time.
+        matches = [hmac.compare_digest(digest, item) for item in account_digests]
+        return name if any(matches) else None
 
-    def _follow(self, snapshot: Snapshot) -> None:
+    def _index_keys(self, snapshot: Snapshot) -> None:
         if snapshot.revision == self._revision:
             return
         self._account_by_hash = {
--- a/pondpin/filters/completion.py
+++ b/pondpin/filters/completion.py
@@ -1,4 +1,4 @@
-"""The last filter of a completion: waits for engines, runs attempts, retries truthfully."""
+"""The last filter of a completion: acquires engines, runs attempts and retries."""
 
 import asyncio
 import random
@@ -30,11 +30,11 @@
 from pondpin.signing import Signer
 from pondpin.stream_attempt import AttemptResult
 
-WORTH_NOTING_SECONDS = 0.005
-# An answer that says that nothing of the request was run.
-HARMLESS_ANSWERS = (Failure.REFUSED, Failure.LEAVING)
-# What the end of an engine's life looks like, among other causes.
-BROKEN_OFF = (Failure.BROKEN, Failure.GAP, Failure.UPSTREAM_DOWN)
+MIN_RECORDED_WAIT_SECONDS = 0.005
+# Responses which state that no part of the request was run.
+NOT_RUN_FAILURES = (Failure.REFUSED, Failure.LEAVING)
+# Failures that a crash of the engine may have caused.
+CRASH_FAILURES = (Failure.BROKEN, Failure.GAP, Failure.UPSTREAM_DOWN)
 
 
 class CompletionFilter:
@@ -51,7 +51,7 @@
         rng: random.Random,
         crash_monitor: CrashMonitor,
     ) -> None:
-        self._crashes = crash_monitor
+        self._crash_monitor = crash_monitor
         self._scheduler = scheduler
         self._attempts = attempts
         self._metrics = metrics
@@ -62,7 +62,7 @@
 
     async def apply(self, call: Call, proceed: Proceed) -> Outcome:
         """See Filter."""
-        progress = self._begin(call)
+        progress = self._make_progress(call)
         try:
             async with asyncio.timeout(max(0.0, call.deadline - self._clock())):
                 return await self._run(call, progress)
@@ -72,13 +72,13 @@
         except PondpinError as caught:
             error = caught
         if progress.may_have_run and error.ran is Ran.NOT_RUN:
-            # The last refusal says nothing of the attempts before it.
+            # The last refusal doesn't cover the attempts before it.
             error.ran = Ran.UNKNOWN
         if progress.writer.fail(error):
             return self._outcome(call, progress, error.code, error.ran)
         raise error
 
-    def _begin(self, call: Call) -> Progress:
+    def _make_progress(self, call: Call) -> Progress:
         prompt = call.the_prompt
         if not prompt.stream:
             return Progress(WholeWriter(call.kind, call.id, prompt.model))
@@ -88,13 +88,13 @@
             call.kind,
             call.id,
             prompt.model,
-            lambda: self._cursor(call, progress),
+            lambda: self._make_cursor(call, progress),
         )
         progress = Progress(writer)
         return progress
 
-    def _cursor(self, call: Call, progress: Progress) -> str:
-        """The signed cursor of the present attempt, signed once for each attempt."""
+    def _make_cursor(self, call: Call, progress: Progress) -> str:
+        """The signed cursor of the current attempt, signed once per attempt."""
         if progress.signed_attempt != progress.attempt:
             left = call.deadline - self._clock()
             cursor = Cursor(
@@ -112,8 +112,8 @@
     async def _run(self, call: Call, progress: Progress) -> Outcome:
         while True:
             grant = await self._acquire(call, progress)
-            if self._is_barred(grant):
-                # A group's reservations were waited for meanwhile.
+            if self._is_unavailable(grant):
+                # The state may have changed while a group's reservations were made.
                 self._scheduler.release(grant)
                 continue
             try:
@@ -125,7 +125,7 @@
                 answer = progress.writer.finish(result.end)
                 outcome = self._outcome(call, progress, Code.OK, Ran.RAN)
                 return replace(outcome, answer=answer)
-            await self._after_failure(call, grant, progress, result.failure)
+            await self._prepare_retry(call, grant, progress, result.failure)
 
     async def _acquire(self, call: Call, progress: Progress) -> Grant:
         prompt, rule = call.the_prompt, call.the_rule
@@ -149,15 +149,15 @@
                 excluded=progress.excluded,
             )
         )
-        self._note_grant(call, grant, before)
+        self._record_grant(call, grant, before)
         progress.upstream = grant.lead.name
         return grant
 
-    def _note_grant(self, call: Call, grant: Grant, before: float) -> None:
+    def _record_grant(self, call: Call, grant: Grant, before: float) -> None:
         now = self._clock()
         waited = now - before
         self._metrics.queue_wait.observe({"class": call.length_class}, waited)
-        if waited > WORTH_NOTING_SECONDS:
+        if waited > MIN_RECORDED_WAIT_SECONDS:
             call.decision.events.append(
                 Waited(now - call.arrived, waited, "until an engine or group had room")
             )
@@ -170,7 +170,7 @@
         call.decision.events.append(Placed(now - call.arrived, names, grant.policy, candidates))
 
     async def _try_engine(self, call: Call, grant: Grant, progress: Progress) -> AttemptResult:
-        """One attempt, with a resume on the same engine if the stream breaks off."""
+        """Run one attempt; if the stream breaks, resume it on the same engine."""
         state = grant.lead
         policy = call.snapshot.configuration.policy
         now = self._clock()
@@ -182,34 +182,36 @@
         if result.failure is None:
             state.health = record_success(state.health, self._clock())
             return result
-        if result.failure in BROKEN_OFF:
-            await self._crashes.check_liveness(call.identity, grant.engines)
-        following = self._decide(call, grant, progress, result.failure)
-        if following.step is Step.RESUME:
+        if result.failure in CRASH_FAILURES:
+            await self._crash_monitor.check_liveness(call.identity, grant.engines)
+        next_step = self._decide_next(call, grant, progress, result.failure)
+        if next_step.step is Step.RESUME:
             progress.resumed = 1
-            # A refused resume says nothing of what the engine ran before it.
+            # A refused resume doesn't tell what the engine ran before it.
             progress.may_have_run = True
-            self._note_failure(call, grant, result.failure, following.step.value)
+            self._record_failure(call, grant, result.failure, next_step.step.value)
             result = await self._attempts.receive(call, grant, progress, resume=True)
         if result.failure is not None:
             self._attempts.cancel(grant)
         return result
 
-    def _is_barred(self, grant: Grant) -> bool:
-        """Whether an engine of a grant leaves or has asked for rest since it was chosen."""
+    def _is_unavailable(self, grant: Grant) -> bool:
+        """Whether an engine of a grant has begun to leave or rest since it was chosen."""
         now = self._clock()
         return any(
             state.bar(now) in (BlockReason.LEAVING, BlockReason.RESTING) for state in grant.engines
         )
 
-    def _decide(self, call: Call, grant: Grant, progress: Progress, failure: Failure) -> NextStep:
+    def _decide_next(
+        self, call: Call, grant: Grant, progress: Progress, failure: Failure
+    ) -> NextStep:
         policy = call.snapshot.configuration.policy
         return decide_next(
             AttemptState(
                 failure=failure,
                 attempt=progress.attempt,
-                # A stream is not taken up again where nothing may be sent any more.
-                resumed=max(progress.resumed, int(self._is_barred(grant))),
+                # A stream isn't resumed on an engine to which nothing may be sent any more.
+                resumed=max(progress.resumed, int(self._is_unavailable(grant))),
                 repeatable=call.the_rule.repeatable,
                 time_left=call.deadline - self._clock(),
                 attempts_allowed=policy.attempts,
@@ -217,24 +219,24 @@
             )
         )
 
-    async def _after_failure(
+    async def _prepare_retry(
         self, call: Call, grant: Grant, progress: Progress, failure: Failure
     ) -> None:
-        """Prepare another attempt, or raise PondpinError."""
+        """Prepare the next attempt, or raise PondpinError."""
         now = self._clock()
         state = grant.lead
-        if failure not in HARMLESS_ANSWERS:
+        if failure not in NOT_RUN_FAILURES:
             state.health = record_failure(state.health, now, failure is Failure.NOT_SENT)
-        following = self._decide(call, grant, progress, failure)
-        if not self._crashes.allows_retry(call.identity):
-            following = NextStep(Step.GIVE_UP, Code.UPSTREAM_LOST)
-        self._note_failure(call, grant, failure, following.step.value)
-        harmless = failure is Failure.NOT_SENT or failure in HARMLESS_ANSWERS
-        harmless = harmless and progress.delivered == 0 and not progress.may_have_run
-        progress.may_have_run = progress.may_have_run or not harmless
-        ran = Ran.NOT_RUN if harmless else Ran.UNKNOWN
-        if following.step is not Step.ELSEWHERE:
-            raise PondpinError(following.code, ran=ran, retry_after=1.0)
+        next_step = self._decide_next(call, grant, progress, failure)
+        if not self._crash_monitor.allows_retry(call.identity):
+            next_step = NextStep(Step.GIVE_UP, Code.UPSTREAM_LOST)
+        self._record_failure(call, grant, failure, next_step.step.value)
+        not_run = failure is Failure.NOT_SENT or failure in NOT_RUN_FAILURES
+        not_run = not_run and progress.delivered == 0 and not progress.may_have_run
+        progress.may_have_run = progress.may_have_run or not not_run
+        ran = Ran.NOT_RUN if not_run else Ran.UNKNOWN
+        if next_step.step is not Step.ELSEWHERE:
+            raise PondpinError(next_step.code, ran=ran, retry_after=1.0)
         if failure is Failure.LEAVING:
             progress.left_upstreams += 1
         else:
@@ -245,10 +247,10 @@
         await asyncio.sleep(backoff_seconds(progress.attempt, self._random.random()))
         progress.attempt += 1
 
-    def _note_failure(self, call: Call, grant: Grant, failure: Failure, following: str) -> None:
+    def _record_failure(self, call: Call, grant: Grant, failure: Failure, next_step: str) -> None:
         self._metrics.attempts.inc({"upstream": grant.lead.name, "result": failure.value})
         at = self._clock() - call.arrived
-        call.decision.events.append(AttemptFailed(at, grant.lead.name, failure.value, following))
+        call.decision.events.append(AttemptFailed(at, grant.lead.name, failure.value, next_step))
 
     def _outcome(self, call: Call, progress: Progress, code: Code, ran: Ran) -> Outcome:
         return Outcome(
--- a/pondpin/filters/quarantine.py
+++ b/pondpin/filters/quarantine.py
@@ -1,4 +1,4 @@
-"""Holds back calls that end the upstreams which run them."""
+"""Quarantines calls that crash the upstreams which run them."""
 
 from dataclasses import replace
 
@@ -10,10 +10,10 @@
 
 
 class QuarantineFilter:
-    """Refuses what is quarantined, and runs a suspect once at a time."""
+    """Rejects quarantined calls, and runs a suspected call once at a time."""
 
-    def __init__(self, watch: CrashMonitor, shared_key: str) -> None:
-        self._watch = watch
+    def __init__(self, crash_monitor: CrashMonitor, shared_key: str) -> None:
+        self._crash_monitor = crash_monitor
         self._key = derive_key(shared_key)
 
     async def apply(self, call: Call, proceed: Proceed) -> Outcome:
@@ -21,15 +21,15 @@
         incoming = call.incoming
         path = incoming.path.encode("latin-1", "replace")
         identity = identify(self._key, call.account_name, "", path, incoming.body)
-        judgement = self._watch.admit(identity)
-        is_suspect = judgement.verdict is Verdict.SUSPECTED
+        assessment = self._crash_monitor.admit(identity)
+        is_suspect = assessment.verdict is Verdict.SUSPECTED
         if is_suspect:
-            self._watch.begin_run(identity)
+            self._crash_monitor.begin_run(identity)
         try:
             outcome = await proceed(replace(call, identity=identity))
         finally:
             if is_suspect:
-                self._watch.end_run(identity)
+                self._crash_monitor.end_run(identity)
         if outcome.code is Code.OK:
-            self._watch.record_success(identity)
+            self._crash_monitor.record_success(identity)
         return outcome
--- a/pondpin/filters/request_parsing.py
+++ b/pondpin/filters/request_parsing.py
@@ -1,4 +1,4 @@
-"""Reads what a call asks for: model, prompt, lengths and labels."""
+"""Parses the model, prompt, lengths and labels of a call."""
 
 import math
 from dataclasses import replace
@@ -30,7 +30,7 @@
 
 
 class ChatMessage(msgspec.Struct, frozen=True):
-    """One message of a chat."""
+    """A message of a chat."""
 
     role: str
     content: str
@@ -45,11 +45,11 @@
     stream: bool = False
 
 
-B = TypeVar("B", bound=msgspec.Struct)
+Body = TypeVar("Body", bound=msgspec.Struct)
 
 
-def decode_body(body: bytes, kind: type[B]) -> B:
-    """Decode a JSON body; raises PondpinError that tells bad JSON from bad UTF-8 and fields."""
+def decode_body(body: bytes, kind: type[Body]) -> Body:
+    """Decode a JSON body; raises PondpinError for malformed JSON, UTF-8 or fields."""
     try:
         return msgspec.json.decode(body, type=kind)
     except msgspec.ValidationError as error:
@@ -68,7 +68,7 @@
 
 
 def read_labels(header: str) -> dict[str, str]:
-    """Labels of a request from 'a=b, c=d'; raises PondpinError."""
+    """Parse the labels of a request from 'a=b, c=d'; raises PondpinError."""
     labels: dict[str, str] = {}
     for part in filter(None, (part.strip() for part in header.split(","))):
         name, separator, value = part.partition("=")
@@ -81,7 +81,7 @@
 
 
 def parse_allowed_seconds(header: str | None) -> float | None:
-    """Allowed seconds that the caller asks for, None when not said; raises PondpinError."""
+    """Parse the time that the caller allows; None if absent; raises PondpinError."""
     if header is None:
         return None
     try:
@@ -94,12 +94,12 @@
 
 
 def join_messages(messages: tuple[ChatMessage, ...]) -> str:
-    """A chat as one prompt."""
+    """Render a chat as one prompt."""
     return "".join(f"<{message.role}>{message.content}\n" for message in messages) + "<assistant>"
 
 
 class RequestParsingFilter:
-    """Fills in the prompt, the service and the labels of a call."""
+    """Sets the prompt, the call token and the labels of a call."""
 
     async def apply(self, call: Call, proceed: Proceed) -> Outcome:
         """See Filter."""
@@ -121,8 +121,8 @@
             "stream": str(prompt.stream).lower(),
         }
         configuration = call.snapshot.configuration
-        described = configuration.models[prompt.model].labels
-        labels |= {f"model.{name}": value for name, value in described.items()}
+        model_settings = configuration.models[prompt.model].labels
+        labels |= {f"model.{name}": value for name, value in model_settings.items()}
         if prompt.adapter:
             adapter = configuration.adapters[prompt.adapter]
             labels["adapter"] = prompt.adapter
@@ -134,21 +134,21 @@
     def _read_prompt(self, call: Call) -> Prompt:
         if call.kind is CallKind.CHAT:
             chat = decode_body(call.incoming.body, ChatBody)
-            return self._make_prompt(
+            return self._build_prompt(
                 call, chat.model, join_messages(chat.messages), chat.max_tokens, chat.stream
             )
         body = decode_body(call.incoming.body, CompletionBody)
-        return self._make_prompt(call, body.model, body.prompt, body.max_tokens, body.stream)
+        return self._build_prompt(call, body.model, body.prompt, body.max_tokens, body.stream)
 
-    def _make_prompt(
+    def _build_prompt(
         self, call: Call, model: str, text: str, max_tokens: int, stream: bool
     ) -> Prompt:
         configuration: Configuration = call.snapshot.configuration
         adapter = model if model in configuration.adapters else ""
         if adapter:
             model = configuration.adapters[adapter].model
-        described = configuration.models.get(model)
-        if described is None:
+        model_settings = configuration.models.get(model)
+        if model_settings is None:
             raise PondpinError(Code.UNKNOWN_MODEL, f"no model {model!r}")
         if not 0 < max_tokens <= MAX_ANSWER_TOKENS:
             raise PondpinError(Code.INVALID_FIELD, f"max_tokens is 1 to {MAX_ANSWER_TOKENS}")
@@ -156,7 +156,7 @@
             encoded = text.encode()
         except UnicodeEncodeError:
             raise PondpinError(Code.BAD_ENCODING, "the prompt has a lone surrogate") from None
-        tokens = count_tokens(len(encoded), described.chars_per_token)
-        block_bytes = int(BLOCK_TOKENS * described.chars_per_token)
+        tokens = count_tokens(len(encoded), model_settings.chars_per_token)
+        block_bytes = int(BLOCK_TOKENS * model_settings.chars_per_token)
         hashes = hash_prefixes(encoded, block_bytes)
         return Prompt(text, tokens, max_tokens, model, stream, hashes, adapter)
--- a/pondpin/filters/route.py
+++ b/pondpin/filters/route.py
@@ -1,10 +1,10 @@
-"""Sends a call to the filter that serves its kind."""
+"""Dispatches a call to the filter for its kind."""
 
 from pondpin.calls import Call, CallKind, Filter, Outcome, Proceed
 
 
 class RouteFilter:
-    """Completions go to engines, all else to plain services."""
+    """Dispatches completions to engines, and other calls to services."""
 
     def __init__(self, complete: Filter, serve: Filter) -> None:
         self._complete = complete
@@ -12,5 +12,5 @@
 
     async def apply(self, call: Call, proceed: Proceed) -> Outcome:
         """See Filter."""
-        chosen = self._serve if call.kind is CallKind.SERVICE else self._complete
-        return await chosen.apply(call, proceed)
+        selected = self._serve if call.kind is CallKind.SERVICE else self._complete
+        return await selected.apply(call, proceed)
--- a/pondpin/filters/rule.py
+++ b/pondpin/filters/rule.py
@@ -1,4 +1,4 @@
-"""Finds the length class and the rule of a call, and its deadline."""
+"""Finds the length class, rule and deadline of a call."""
 
 from dataclasses import replace
 
@@ -27,28 +27,30 @@
 
 
 class RuleFilter:
-    """Refuses calls that no rule takes."""
+    """Rejects calls that no rule matches."""
 
     async def apply(self, call: Call, proceed: Proceed) -> Outcome:
         """See Filter."""
         configuration = call.snapshot.configuration
-        found = find_length_class(configuration, call.labels)
-        length_class = found.name if found is not None else "none"
+        matched_class = find_length_class(configuration, call.labels)
+        length_class = matched_class.name if matched_class is not None else "none"
         labels = call.labels | {"class": length_class}
         call.decision.length_class = length_class
         rule = find_rule(configuration, labels)
         if rule is None:
             raise PondpinError(Code.NO_RULE)
         call.decision.rule = rule.name
-        asked = parse_allowed_seconds(call.incoming.headers.get(ALLOWED_SECONDS_HEADER))
-        allowed = rule.allowed_seconds if asked is None else min(asked, rule.allowed_seconds)
+        requested = parse_allowed_seconds(call.incoming.headers.get(ALLOWED_SECONDS_HEADER))
+        allowed = (
+            rule.allowed_seconds if requested is None else min(requested, rule.allowed_seconds)
+        )
         call.decision.allowed = allowed
         return await proceed(
             replace(
                 call,
                 labels=labels,
                 length_class=length_class,
-                long=found is not None and found.long,
+                long=matched_class is not None and matched_class.long,
                 rule=rule,
                 deadline=call.arrived + allowed,
             )
--- a/pondpin/filters/service.py
+++ b/pondpin/filters/service.py
@@ -1,4 +1,4 @@
-"""The last filter of a plain service's call: sends it at most once unless it may be repeated."""
+"""The last filter of a service call: sends it at most once unless it is repeatable."""
 
 from dataclasses import replace
 
@@ -23,7 +23,7 @@
 
 
 class ServiceFilter:
-    """Sends calls to plain services."""
+    """Sends calls to upstreams of plain services."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         clock: Clock,
         crash_monitor: CrashMonitor,
     ) -> None:
-        self._crashes = crash_monitor
+        self._crash_monitor = crash_monitor
         self._services = services
         self._fleet = fleet
         self._metrics = metrics
@@ -47,14 +47,14 @@
         )
         if not allowed:
             raise PondpinError(Code.NO_UPSTREAM, f"no upstream of service {call.service!r}")
-        keepers = [state.name for state in allowed if state.upstream.checks_tokens]
-        pinned = pin_upstream(key, keepers) if key and keepers else ""
-        return await self._attempts(call, allowed, key, pinned)
+        pinnable = [state.name for state in allowed if state.upstream.checks_tokens]
+        pinned = pin_upstream(key, pinnable) if key and pinnable else ""
+        return await self._run_attempts(call, allowed, key, pinned)
 
-    async def _attempts(
+    async def _run_attempts(
         self, call: Call, allowed: list[UpstreamState], key: str, pinned: str
     ) -> Outcome:
-        """Send, and again only while that can't run the call a second time."""
+        """Send the call; retry only while that can't run it twice."""
         policy = call.snapshot.configuration.policy
         tried: set[str] = set()
         attempt = 0
@@ -71,13 +71,15 @@
                 attempt += 1
                 may_have_run = may_have_run or error.sent
                 if error.sent:
-                    await self._crashes.check_liveness(call.identity, (state,))
-                more = attempt < policy.attempts and self._crashes.allows_retry(call.identity)
-                self._check_retry(call, state, error, pinned, more, may_have_run)
+                    await self._crash_monitor.check_liveness(call.identity, (state,))
+                may_retry = attempt < policy.attempts and self._crash_monitor.allows_retry(
+                    call.identity
+                )
+                self._check_retry(call, state, error, pinned, may_retry, may_have_run)
                 continue
-            return self._answered(call, answer, pinned)
+            return self._make_outcome(call, answer, pinned)
 
-    def _answered(self, call: Call, answer: WholeAnswer, pinned: str) -> Outcome:
+    def _make_outcome(self, call: Call, answer: WholeAnswer, pinned: str) -> Outcome:
         repeatable = REPEATABLE if call.the_rule.repeatable else SINGLE_DISPATCH
         headers = {GUARANTEE_HEADER: BY_UPSTREAM if pinned else repeatable}
         elapsed = self._clock() - call.arrived
@@ -88,14 +90,14 @@
         if pinned:
             state = next(state for state in allowed if state.name == pinned)
             if state.leaving:
-                raise PondpinError(Code.NO_UPSTREAM, f"{pinned} keeps the key and is leaving")
+                raise PondpinError(Code.NO_UPSTREAM, f"{pinned} holds the key and is leaving")
             now = self._clock()
             if state.bar(now) or not state.has_turn(self._fleet.sharer(), now):
                 raise self._fleet.why_nobody([state], now)
             return state
         usable = self._fleet.in_service(allowed, self._clock())
-        fresh = [state for state in usable if state.name not in tried] or usable
-        if not fresh:
+        untried = [state for state in usable if state.name not in tried] or usable
+        if not untried:
             raise self._fleet.why_nobody(allowed, self._clock())
         views = [
             ServiceView(
@@ -104,7 +106,7 @@
                 0,
                 state.upstream.data_center == self._fleet.data_center,
             )
-            for state in fresh
+            for state in untried
         ]
         return self._fleet.by_name[choose_service(views).id]
 
@@ -120,15 +122,17 @@
             body=call.incoming.body,
             key=key if state.upstream.checks_tokens else "",
         )
-        left = call.deadline - now
-        if left <= 0:
+        seconds_left = call.deadline - now
+        if seconds_left <= 0:
             raise PondpinError(Code.DEADLINE, retry_after=1.0)
         state.take_turn(self._fleet.sharer(), now)
         state.open_calls += 1
         try:
             # A new connection, so that a failure to connect proves that nothing was sent.
-            fresh = not call.the_rule.repeatable
-            answer = await self._services.send(state.upstream.address, sent, left, fresh)
+            new_connection = not call.the_rule.repeatable
+            answer = await self._services.send(
+                state.upstream.address, sent, seconds_left, new_connection
+            )
         finally:
             state.open_calls -= 1
         state.health = record_success(state.health, self._clock())
@@ -140,23 +144,23 @@
         state: UpstreamState,
         error: CallFailedError,
         pinned: str,
-        more: bool,
+        may_retry: bool,
         may_have_run: bool,
     ) -> None:
-        """Return when another attempt is harmless and the budget has it, else raise."""
+        """Return if another attempt is safe and within the retry budget, else raise."""
         now = self._clock()
         state.health = record_failure(state.health, now, certain=not error.sent)
         self._metrics.attempts.inc({"upstream": state.name, "result": str(error)})
-        harmless = not error.sent or call.the_rule.repeatable or bool(pinned)
+        is_safe = not error.sent or call.the_rule.repeatable or bool(pinned)
         ran = Ran.UNKNOWN if may_have_run else Ran.NOT_RUN
         code = Code.OUTCOME_UNKNOWN if may_have_run else Code.NOT_SENT
-        left = call.deadline - now
-        allowed = harmless and more and left > 0
+        seconds_left = call.deadline - now
+        allowed = is_safe and may_retry and seconds_left > 0
         if allowed:
             allowed, state.budget = spend_retry(state.budget, now)
-        following = "try again" if allowed else "give up"
+        next_step = "try again" if allowed else "give up"
         call.decision.events.append(
-            AttemptFailed(now - call.arrived, state.name, str(error), following)
+            AttemptFailed(now - call.arrived, state.name, str(error), next_step)
         )
         if not allowed:
             raise PondpinError(code, str(error), ran, retry_after=1.0)
