--- a/pondpin/controllers/configuration.py
+++ b/pondpin/controllers/configuration.py
@@ -158,7 +158,7 @@
 
     async def step(self) -> None:
         """Watch once; after a failure the next watch waits 0.5 to 1.5 times the retry time."""
-        # The first read doesn't wait, so that platform_reachable is current_version early.
+        # The first read doesn't wait, so that platform_reachable is known early.
         wait_seconds = self._watch_seconds if self.platform_reachable else 0.0
         try:
             published = await self._platform.watch(self._store.seen_revision, wait_seconds)
--- a/pondpin/controllers/housekeeping.py
+++ b/pondpin/controllers/housekeeping.py
@@ -16,7 +16,7 @@
 
 
 class QueueController(Controller):
-    """Retries to place the heads of the queue."""
+    """Periodically retries the heads of the queue."""
 
     period = PUMP_SECONDS
 
--- a/pondpin/controllers/peers.py
+++ b/pondpin/controllers/peers.py
@@ -180,14 +180,14 @@
         identity: Identity,
         address: str,
         status: Callable[[], InstanceStatus],
-        on_heartbeat_received: Callable[[HeartbeatRequest], None],
+        on_heartbeat: Callable[[HeartbeatRequest], None],
         clock: Clock,
         settings: HeartbeatSettings,
     ) -> None:
         self.identity = identity
         self._address = address
         self._status = status
-        self._on_heartbeat = on_heartbeat_received
+        self._on_heartbeat = on_heartbeat
         self._clock = clock
         self._settings = settings
         self.table: PeerTable = {}
@@ -258,7 +258,7 @@
         return alive_peers(self.table, self._clock(), self.lost_after_seconds)
 
     def expire(self) -> None:
-        """Remove peers that have been lost for PEER_EXPIRY_SECONDS."""
+        """Remove unlisted peers without a heartbeat for PEER_EXPIRY_SECONDS."""
         self.table = forget_lost(self.table, self._clock(), PEER_EXPIRY_SECONDS)
 
     def addresses(self, seeds: Iterable[str]) -> list[str]:
--- a/pondpin/filters/completion.py
+++ b/pondpin/filters/completion.py
@@ -113,7 +113,7 @@
         while True:
             grant = await self._acquire(call, progress)
             if self._is_unavailable(grant):
-                # The state may have changed while a group's reservations were made.
+                # It changed while a group's reservations were awaited.
                 self._scheduler.release(grant)
                 continue
             try:
--- a/pondpin/filters/request_parsing.py
+++ b/pondpin/filters/request_parsing.py
@@ -49,7 +49,7 @@
 
 
 def decode_body(body: bytes, kind: type[Body]) -> Body:
-    """Decode a JSON body; raises PondpinError for malformed JSON, UTF-8 or fields."""
+    """Decode a JSON body; raises PondpinError with a code for bad JSON, UTF-8 or fields."""
     try:
         return msgspec.json.decode(body, type=kind)
     except msgspec.ValidationError as error:
--- a/pondpin/platform/documents.py
+++ b/pondpin/platform/documents.py
@@ -1,4 +1,4 @@
-"""Decodes the documents that the platform publishes: configuration and upstream entries."""
+"""Decodes the platform's documents: configuration and upstream entries."""
 
 from collections import defaultdict
 from typing import Annotated, Literal, TypeVar
@@ -29,7 +29,7 @@
     "streaming": RouteKind.STREAM,
 }
 DRAINING = "draining"
-SECONDS_PER_MS = 0.001
+MILLISECOND = 0.001
 MILLION = 1e6
 
 Wire = TypeVar("Wire")
@@ -158,15 +158,15 @@
             bounds=CallerBounds(
                 header_bytes=wire.limits.max_header_bytes,
                 body_bytes=wire.limits.max_body_bytes,
-                header_seconds=wire.limits.header_timeout_ms * SECONDS_PER_MS,
-                idle_seconds=wire.limits.idle_timeout_ms * SECONDS_PER_MS,
+                header_seconds=wire.limits.header_timeout_ms * MILLISECOND,
+                idle_seconds=wire.limits.idle_timeout_ms * MILLISECOND,
             ),
         )
 
     def upstream(self, key: str, value: bytes) -> ListedUpstream:
         """Decode an upstream's entry; its key is a prefix and the id. Raises ValueError.
 
-        The list has other writers too, so an entry in any other format is rejected.
+        The list has other writers; entries in other formats are rejected.
         """
         wire = _decode(_SERVER, value)
         endpoint = parse_endpoint(wire.address)
@@ -191,7 +191,7 @@
     try:
         return decoder.decode(value)
     except RecursionError:
-        # E.g. a hundred thousand brackets.
+        # E.g. a hundred thousand brackets in an unread field.
         raise ValueError("nested too deeply") from None
 
 
@@ -207,14 +207,14 @@
         host=wire.host,
         prefix=wire.path_prefix,
         kind=kind,
-        timeout=wire.timeout_ms * SECONDS_PER_MS,
-        latency_target=wire.target_latency_ms * SECONDS_PER_MS,
+        timeout=wire.timeout_ms * MILLISECOND,
+        latency_target=wire.target_latency_ms * MILLISECOND,
         priority=wire.priority,
         shares=shares or (ServiceShare(wire.service, 1.0),),
         max_attempts=max(1, wire.max_attempts),
         public=wire.public,
         resumable=wire.stream_resume and kind is RouteKind.STREAM,
-        gap_target=wire.gap_aim_ms * SECONDS_PER_MS,
+        gap_target=wire.gap_aim_ms * MILLISECOND,
     )
 
 
@@ -229,11 +229,11 @@
         slots=wire.slots,
         memory_tokens=wire.memory_tokens,
         stride=max(1, wire.stride),
-        step_seconds=wire.step_ms * SECONDS_PER_MS,
-        step_per_stream=wire.per_seq_ms * SECONDS_PER_MS,
-        step_per_context_k=wire.context_per_k * SECONDS_PER_MS,
+        step_seconds=wire.step_ms * MILLISECOND,
+        step_per_stream=wire.per_seq_ms * MILLISECOND,
+        step_per_context_k=wire.context_per_k * MILLISECOND,
         prefill_rate=wire.read_per_s,
-        pair_cost=wire.pairs_per_m * SECONDS_PER_MS / MILLION,
+        pair_cost=wire.pairs_per_m * MILLISECOND / MILLION,
         chunk_tokens=wire.chunk,
-        hop_seconds=wire.hop_ms * SECONDS_PER_MS,
+        hop_seconds=wire.hop_ms * MILLISECOND,
     )
--- a/pondpin/platform/headers.py
+++ b/pondpin/platform/headers.py
@@ -1,4 +1,4 @@
-"""Translates the headers of requests to upstreams and of their responses."""
+"""Translates headers of requests and responses."""
 
 from collections.abc import Callable, Iterable, Sequence
 
@@ -19,7 +19,7 @@
 HELPERS = b"helpers"
 LOAD = b"x-instance-load"
 NOT_EXECUTED = b"x-not-executed"
-# Address (not id) of the upstream that failed, among those assigned to the request.
+# Address (not id) of the assigned upstream that failed.
 FAILED_ENDPOINT = b"at-server"
 SIGNATURE = b"x-instance-signature"
 INSTANCE = b"x-instance-id"
@@ -42,7 +42,7 @@
     (b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding",
      b"upgrade", b"content-length", b"expect", b"proxy-authorization", b"proxy-authenticate")
 )  # fmt: skip
-# Caller headers that aren't kept: pondpin sets them, or keeps the API key.
+# Caller headers that aren't forwarded: pondpin sets them or withholds the API key.
 OWNED_HEADERS = frozenset(
     (b"authorization", DEADLINE, TENANT, EXPECT_INSTANCE, PRIORITY, HELPERS, b"expect-version")
 )
@@ -99,7 +99,7 @@
     def forward_headers(
         self, headers: RawHeaders, sent: ForwardMetadata
     ) -> list[tuple[bytes, bytes]]:
-        """Build the headers of a request to an upstream."""
+        """Build the headers of an upstream request."""
         dropped = CONNECTION_HEADERS | OWNED_HEADERS | _connection_options(headers)
         if sent.resume_after:
             dropped = dropped | {RESUME_AFTER}
@@ -121,7 +121,7 @@
         return kept
 
     def read_head(self, status: int, headers: Iterable[tuple[bytes, bytes]]) -> ResponseHead:
-        """Parse the head of a response, without its hop-by-hop headers."""
+        """Parse a response head, without hop-by-hop headers."""
         raw = tuple(headers)
         kept = tuple(pair for pair in raw if pair[0].lower() not in CONNECTION_HEADERS)
         content = _first(raw, b"content-type")
@@ -141,13 +141,13 @@
 
 
 def head_observer(callback: HeadCallback) -> Callable[[StreamedResponse], None]:
-    """Make a handler that passes the parsed head of a response to callback."""
+    """Make a handler that passes a response's parsed head to callback."""
     read_head = PlatformDialect().read_head
     return lambda response: callback(read_head(response.status, response.raw_headers))
 
 
 def response_notice(status: int, headers: RawHeaders) -> Notice:
-    """Parse the notice about its upstream that any response may carry."""
+    """Parse the notice in any response of an upstream."""
     names = {key.lower() for key, _ in headers}
     if not names & {LEAVING, LIMIT, RETRY_AFTER}:
         return EMPTY_NOTICE
@@ -164,7 +164,7 @@
 
 
 def _unknown_notices(headers: RawHeaders) -> tuple[tuple[str, str], ...]:
-    """Headers about the upstream's state that pondpin doesn't know."""
+    """Unknown headers about the upstream's state."""
     return tuple(
         (key.lower().decode("latin-1"), value.decode("latin-1"))
         for key, value in headers
@@ -173,7 +173,7 @@
 
 
 def _parse_endpoint(text: bytes) -> Endpoint | None:
-    """Parse an address; None if it is absent or invalid."""
+    """Parse an address; None if absent or invalid."""
     try:
         return parse_endpoint(text.decode("latin-1")) if text else None
     except ValueError:
--- a/pondpin/platform/paths.py
+++ b/pondpin/platform/paths.py
@@ -1,3 +1,3 @@
-"""HTTP paths that the platform requests."""
+"""Paths that the platform requests."""
 
 READY_PATH = "/v1/readyz"
--- a/pondpin/platform/store.py
+++ b/pondpin/platform/store.py
@@ -77,10 +77,7 @@
 
 
 def _decode_page(body: bytes) -> WireRange:
-    """Decode a page of entries; raises ValueError if it is no page.
-
-    Invalid items are skipped, so that they don't hide the others.
-    """
+    """Decode a page; raises ValueError. Invalid items don't hide the others."""
     try:
         return _RANGE.decode(body)
     except ValueError:
@@ -96,7 +93,7 @@
 
 
 def _decode_entry(wire: WireItem, epoch: int) -> PublishedItem:
-    """Decode an entry; a value that isn't base64 becomes empty, which is rejected by its key."""
+    """Decode an entry; a value that isn't base64 becomes empty, and is rejected by key."""
     try:
         return _decode_item(wire, epoch)
     except ValueError:
--- a/pondpin/tests/test_interface_notices.py
+++ b/pondpin/tests/test_interface_notices.py
@@ -1,8 +1,8 @@
-"""What upstreams of the callers' own interface say in their answers is kept to.
+"""Notices of upstreams (leaving, rest, limit) hold for calls of the callers' own interface.
 
-The same incident as in `test_relay_notices`, at the other door. Cause: the header for leaving was
-read in answers to streams only, and no wish for rest anywhere. Proof: the stand-ins of an engine
-and of a service say both while their reports say that they are well, and count what reaches them.
+Guards against calls to upstreams that are leaving or resting, as `test_relay_notices` does for the
+relay: the leaving header was read only in responses to streams, and Retry-After nowhere. Stand-ins
+of engines and services send both in responses while their reports show nothing, and count calls.
 """
 
 import asyncio
@@ -32,9 +32,9 @@
 from pondpin.tests.support import KEY, FleetCase, question, run_async, sample_spec
 from pondpin.tests.test_scheduler import make_report, make_scheduler, make_ticket
 
-ASKED = 20
+CALLS = 20
 LIMIT_SECONDS = 7.0
-WORDS = (Notice(is_leaving=True), Notice(rest=30.0))
+NOTICES = (Notice(is_leaving=True), Notice(rest=30.0))
 SPEC = sample_spec(
     entries=(EntrySpec(name="a1", data_center="dc-a"),),
     services=(
@@ -44,8 +44,8 @@
 )
 
 
-class IncidentTest(FleetCase):
-    def test_both_kinds_of_upstreams_are_heeded(self) -> None:
+class LeavingAndRestTest(FleetCase):
+    def test_engines_and_services_get_no_calls_after_a_notice(self) -> None:
         async def work() -> None:
             for faults in (Faults(says_leaving=True), Faults(rest="60")):
                 engines: list[Engine | Service] = [
@@ -55,7 +55,7 @@
                 for standin in standins:
                     standin.faults = faults
                     standin.wishes.arrivals.clear()
-                for number in range(ASKED):
+                for number in range(CALLS):
                     await self.caller.ask(question(f"Where is dock {number}?"))
                     await self.client.call(
                         "POST",
@@ -72,9 +72,9 @@
 
 
 class LimitTest(FleetCase):
-    """The incident of `test_relay_limits` at this door: a limit binds all instances together."""
+    """A limit holds for all instances together, as in `test_relay_limits`."""
 
-    def test_a_limit_is_kept_to_by_two_instances_at_both_kinds_of_upstreams(self) -> None:
+    def test_two_instances_keep_to_limits_of_engines_and_services(self) -> None:
         async def work() -> None:
             engine, service = (
                 self.fleet.engines_by_name["e1"],
@@ -86,7 +86,7 @@
             loop = asyncio.get_running_loop()
             end = loop.time() + LIMIT_SECONDS
 
-            async def go_on(entry: str) -> None:
+            async def send_calls(entry: str) -> None:
                 number = 0
                 while loop.time() < end:
                     number += 1
@@ -97,7 +97,7 @@
                     served = await self.client.call("POST", url, headers, b"{}")
                     self.assertEqual(served.status, 200)
 
-            await asyncio.gather(*map(go_on, self.callers))
+            await asyncio.gather(*map(send_calls, self.callers))
             for standin in standins:
                 with self.subTest(type(standin).__name__):
                     self.assertTrue(standin.wishes.arrivals)
@@ -106,37 +106,37 @@
         self.drive(work, sample_spec(services=SPEC.services))
 
 
-class TurnsTest(unittest.TestCase):
-    """Turns in time, without any network."""
+class LimitSlotsTest(unittest.TestCase):
+    """Time slots of a limit, without a network."""
 
     @given(
         st.sampled_from((0.1, 0.5, 1.0, 6.0, 50.0)),
         st.sampled_from((1, 2, 3, 8, 30)),
         st.lists(st.floats(0, 0.3), min_size=20, max_size=60),
     )
-    def test_all_together_keep_to_the_aim(
-        self, limit: float, count: int, late: list[float]
+    def test_all_instances_together_keep_to_the_limit(
+        self, limit: float, count: int, poll_delays: list[float]
     ) -> None:
-        # Each hears the limit with its next poll, and sends whenever it may.
-        turns = [LimitSlots(limit, late[rank % len(late)]) for rank in range(count)]
+        # Each instance learns the limit by its next poll, and sends in every slot.
+        slots = [LimitSlots(limit, poll_delays[rank % len(poll_delays)]) for rank in range(count)]
         wishes = Wishes()
         wishes.note("x", 0.0, False, 0.0, limit)
         for step in range(400):
             now = 0.3 + step * 0.05
-            for rank, item in enumerate(turns):
+            for rank, item in enumerate(slots):
                 if item.current_slot(InstancePosition(rank, count), now) is not None:
                     item.use_slot(InstancePosition(rank, count), now)
                     wishes.note(f"i{rank}", now, False, 0.0, limit)
         self.assertLessEqual(worst_over([wishes]), 0.0)
 
-    def test_a_limit_of_nothing_has_no_turn(self) -> None:
-        turns = LimitSlots(0.0, 0.0)
-        self.assertIsNone(turns.current_slot(InstancePosition(), 100.0))
-        self.assertEqual(turns.seconds_to_next(InstancePosition(), 100.0), math.inf)
+    def test_limit_of_zero_has_no_slot(self) -> None:
+        slots = LimitSlots(0.0, 0.0)
+        self.assertIsNone(slots.current_slot(InstancePosition(), 100.0))
+        self.assertEqual(slots.seconds_to_next(InstancePosition(), 100.0), math.inf)
 
 
-class BeliefTest(unittest.TestCase):
-    """What is believed of a life, without any network."""
+class UpstreamNoticeTest(unittest.TestCase):
+    """Notices applied to upstream states, without a network."""
 
     def setUp(self) -> None:
         self.scheduler = make_scheduler(count=2)
@@ -145,28 +145,28 @@
         self.first = self.states[0]
         self.now = self.scheduler.clock()
 
-    def hear(self, state: UpstreamState, **words: Any) -> None:
-        notice = Notice(**words)
+    def apply_notice(self, state: UpstreamState, **notice_fields: Any) -> None:
+        notice = Notice(**notice_fields)
         self.assertIs(self.fleet.hear(state.upstream.address, notice, self.now), state)
 
     def names(self, now: float) -> list[str]:
         return [state.name for state in self.fleet.in_service(self.states, now)]
 
-    def test_a_limit_binds_until_an_answer_names_none(self) -> None:
-        self.hear(self.first, limit=0.0)
+    def test_limit_holds_until_a_response_names_none(self) -> None:
+        self.apply_notice(self.first, limit=0.0)
         self.assertEqual(self.names(self.now), ["e1"])
-        self.hear(self.states[1], limit=0.0)
+        self.apply_notice(self.states[1], limit=0.0)
         error = self.fleet.why_nobody(self.states, self.now)
         self.assertEqual(error.code, Code.UPSTREAMS_LIMITED)
         self.fleet.hear(self.first.upstream.address, Notice(invalid_limit="many"), self.now)
         self.assertEqual(self.names(self.now), [])
-        self.hear(self.first)
+        self.apply_notice(self.first)
         self.assertEqual(self.names(self.now), ["e0"])
 
-    def test_one_that_rests_takes_nothing_also_when_none_is_left(self) -> None:
-        self.hear(self.first, rest=30.0)
+    def test_resting_upstreams_get_nothing_even_if_all_rest(self) -> None:
+        self.apply_notice(self.first, rest=30.0)
         self.assertEqual(self.names(self.now + 29), ["e1"])
-        self.hear(self.states[1], rest=20.0)
+        self.apply_notice(self.states[1], rest=20.0)
         self.assertEqual(self.names(self.now), [])
         ticket = make_ticket(self.scheduler, 1, deadline=self.now + 60)
         with self.assertRaises(PondpinError) as caught:
@@ -180,56 +180,56 @@
     async def _acquire(self, ticket: Any) -> None:
         await self.scheduler.acquire(ticket)
 
-    def test_all_that_leave_are_refused_as_leaving(self) -> None:
+    def test_error_if_all_upstreams_are_leaving(self) -> None:
         for state in self.states:
-            self.hear(state, is_leaving=True)
+            self.apply_notice(state, is_leaving=True)
         error = self.fleet.why_nobody(self.states, self.now)
         self.assertEqual(error.code, Code.UPSTREAMS_LEAVE)
 
-    def test_a_later_life_rests_no_more_the_same_one_does(self) -> None:
-        self.hear(self.first, rest=30.0, is_leaving=True)
+    def test_notices_end_with_the_incarnation(self) -> None:
+        self.apply_notice(self.first, rest=30.0, is_leaving=True)
         self.first.take_report(make_report(incarnation=1), self.now)
         self.assertNotIn("e0", self.names(self.now))
         self.first.take_report(make_report(incarnation=2), self.now)
         self.assertIn("e0", self.names(self.now))
 
-    def test_what_was_heard_before_the_first_report_holds(self) -> None:
+    def test_notice_before_the_first_report_holds(self) -> None:
         upstream = self.first.upstream
-        for words in WORDS:
+        for notice in NOTICES:
             state = UpstreamState("e0", upstream, {})
-            state.hear(words, self.now, 0.0)
+            state.hear(notice, self.now, 0.0)
             state.take_report(make_report(incarnation=7), self.now)
             self.assertTrue(state.bar(self.now))
             state.note_incarnation(8)
-            self.assertFalse(state.bar(self.now), words)
+            self.assertFalse(state.bar(self.now), notice)
 
-    def test_a_move_ends_neither(self) -> None:
-        for words in WORDS:
+    def test_notices_survive_an_address_change(self) -> None:
+        for notice in NOTICES:
             fleet = Fleet("dc-a")
             upstreams = {"e0": self.first.upstream}
             fleet.apply(SimpleNamespace(upstreams=upstreams))  # type: ignore[arg-type]
             state = fleet.by_name["e0"]
             state.take_report(make_report(), self.now)
-            state.hear(words, self.now, 0.0)
+            state.hear(notice, self.now, 0.0)
             moved = {"e0": replace(self.first.upstream, address="127.0.0.1:99")}
             fleet.apply(SimpleNamespace(upstreams=moved))  # type: ignore[arg-type]
             self.assertIsNot(fleet.by_name["e0"], state)
-            self.assertTrue(fleet.by_name["e0"].bar(self.now), words)
+            self.assertTrue(fleet.by_name["e0"].bar(self.now), notice)
 
-    def test_a_rest_holds_polls_back_and_calls_that_are_pinned(self) -> None:
+    def test_rest_stops_polls_and_pinned_calls(self) -> None:
         polled: list[str] = []
 
-        class Port:
+        class PolledEngines:
             async def load(self, address: str, timeout: float) -> Any:
                 polled.append(address)
                 return make_report()
 
-        self.hear(self.first, rest=30.0)
-        nothing: Any = None
+        self.apply_notice(self.first, rest=30.0)
+        unused: Any = None
         controller = LoadController(
             self.fleet,
-            Port(),  # type: ignore[arg-type]
-            nothing,
+            PolledEngines(),  # type: ignore[arg-type]
+            unused,
             self.scheduler.clock,
             1.0,
             1.0,
@@ -240,13 +240,13 @@
 
         async def poll() -> None:
             await controller.step()
-            # One turn of the loop begins the polls.
+            # One iteration of the loop starts the polls.
             await asyncio.sleep(0)
             await controller.stop()
 
         run_async(poll())
         self.assertEqual(polled, [self.states[1].upstream.address])
-        serve = ServiceFilter(nothing, self.fleet, nothing, self.scheduler.clock, nothing)
+        serve = ServiceFilter(unused, self.fleet, unused, self.scheduler.clock, unused)
         with self.assertRaises(PondpinError) as caught:
             serve._choose(self.states, "e0", set())
         self.assertEqual(caught.exception.code, Code.UPSTREAMS_REST)
--- a/pondpin/tests/test_peers.py
+++ b/pondpin/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Calls between instances over gRPC."""
+"""Peer calls over gRPC."""
 
 import asyncio
 import unittest
@@ -9,11 +9,11 @@
 from pondpin.tests.support import run_async
 from pondpin.wire.peer_pb2 import FetchConfigurationRequest
 
-PATIENCE_SECONDS = 0.05
+TIMEOUT_SECONDS = 0.05
 
 
 class SilentPeerTest(unittest.TestCase):
-    def test_a_connection_that_fell_silent_is_not_used_again(self) -> None:
+    def test_unresponsive_connection_is_not_reused(self) -> None:
         connections: list[asyncio.StreamWriter] = []
 
         async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -22,13 +22,13 @@
         async def work() -> None:
             server = await asyncio.start_server(accept, "127.0.0.1", 0)
             host, port = server.sockets[0].getsockname()
-            peers = GrpcPeerClient(Metrics("a", "north"), lambda: None)
+            client = GrpcPeerClient(Metrics("a", "north"), lambda: None)
             for _ in range(2):
                 with self.assertRaises(PeerUnreachableError):
-                    await peers.fetch_configuration(
-                        f"{host}:{port}", FetchConfigurationRequest(), PATIENCE_SECONDS
+                    await client.fetch_configuration(
+                        f"{host}:{port}", FetchConfigurationRequest(), TIMEOUT_SECONDS
                     )
-            peers.close()
+            client.close()
             server.close()
             for writer in connections:
                 writer.close()
--- a/pondpin/tests/test_platform.py
+++ b/pondpin/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The adapter: documents, headers, the store's pages, the settings template."""
+"""The platform adapters: documents, headers, store pages, the settings template."""
 
 import json
 import re
@@ -30,7 +30,7 @@
 from pondpin.tests.support import run_async, the_loop
 
 ROOT = Path(__file__).parents[2]
-FIELDS = {
+TEMPLATE_VALUES = {
     "nodeName": "edge-1",
     "zone": "north",
     "listen.frontend": "10.1.0.40:8227",
@@ -54,7 +54,7 @@
     def setUp(self) -> None:
         self.decoder = PlatformDecoder()
 
-    def test_a_configuration_is_decoded_once_into_seconds_and_tokens(self) -> None:
+    def test_configuration_is_decoded_with_units(self) -> None:
         document = sample_configuration(9)
         document["routes"].append(
             sample_route(
@@ -82,7 +82,7 @@
         self.assertEqual((engine.memory_tokens, engine.stride), (450_000, 46))
         self.assertIsNone(found.services_by_name["plain"].engine)
 
-    def test_unsound_documents_are_refused_with_a_reason(self) -> None:
+    def test_invalid_documents_are_rejected(self) -> None:
         for route in (
             sample_route("x", "sometimes", "plain"),
             sample_route("x", "safe", ""),
@@ -94,7 +94,7 @@
         with self.assertRaises(ValueError):
             self.decoder.upstream("servers/a", b'{"service": "a", "address": "host:1"}')
 
-    def test_unknown_fields_are_passed_over(self) -> None:
+    def test_unknown_fields_are_ignored(self) -> None:
         entry = sample_entry("a", "10.0.0.1:80", news=1, state="draining")
         found = self.decoder.upstream("servers/i-1", msgspec.json.encode(entry))
         self.assertEqual((found.id, found.port, found.leaving), ("i-1", 80, True))
@@ -103,10 +103,10 @@
 class HeadersTest(unittest.TestCase):
     def setUp(self) -> None:
         self.dialect = PlatformDialect()
-        self.sent = ForwardMetadata("i-1", "riders", 1.5, 2)
+        self.forward = ForwardMetadata("i-1", "riders", 1.5, 2)
 
-    def test_what_a_caller_says(self) -> None:
-        facts = self.dialect.read_request(
+    def test_caller_headers_are_parsed(self) -> None:
+        metadata = self.dialect.read_request(
             [
                 (b"Host", b"A.example:80"),
                 (b"X-Attempt-Id", b"9c"),
@@ -116,44 +116,57 @@
                 (b"Last-Event-Id", b"12"),
             ]
         )
-        self.assertEqual((facts.host, facts.attempt_id, facts.api_key), ("a.example", "9c", "k1"))
-        self.assertEqual((facts.timeout, facts.prompt_tokens, facts.answer_tokens), (2.5, 1460, 80))
-        self.assertEqual(facts.resume_after, "12")
+        self.assertEqual(
+            (metadata.host, metadata.attempt_id, metadata.api_key), ("a.example", "9c", "k1")
+        )
+        self.assertEqual(
+            (metadata.timeout, metadata.prompt_tokens, metadata.answer_tokens), (2.5, 1460, 80)
+        )
+        self.assertEqual(metadata.resume_after, "12")
 
-    def test_spoiled_headers_are_as_if_missing(self) -> None:
-        facts = self.dialect.read_request(
+    def test_invalid_headers_count_as_missing(self) -> None:
+        metadata = self.dialect.read_request(
             [
                 (b"X-Deadline-Ms", b"soon"),
                 (b"X-Token-Usage", b"many"),
                 (b"Authorization", b"Basic x"),
             ]
         )
-        self.assertEqual((facts.timeout, facts.prompt_tokens, facts.api_key), (None, 0, ""))
+        self.assertEqual(
+            (metadata.timeout, metadata.prompt_tokens, metadata.api_key), (None, 0, "")
+        )
 
-    def test_no_owned_or_connection_header_of_a_caller_passes(self) -> None:
-        names = [*OWNED_HEADERS, b"connection", b"te", b"upgrade", b"keep-alive", b"x-named"]
+    def test_owned_and_connection_headers_are_dropped(self) -> None:
+        names = [
+            *OWNED_HEADERS,
+            b"connection",
+            b"te",
+            b"upgrade",
+            b"keep-alive",
+            b"x-named",
+        ]
         raw = [(name, b"x-named" if name == b"connection" else b"evil") for name in names]
         raw.append((b"X-Own", b"1"))
-        passed = dict(self.dialect.forward_headers(raw, self.sent))
+        passed = dict(self.dialect.forward_headers(raw, self.forward))
         self.assertNotIn(b"evil", passed.values())
         self.assertEqual(passed[b"X-Own"], b"1")
         self.assertEqual(passed[b"X-Deadline-Ms"], b"1500")
         self.assertEqual(passed[b"X-Tenant"], b"riders")
         self.assertEqual(passed[b"X-Expect-Instance"], b"i-1")
 
-    def test_parts_and_resuming(self) -> None:
+    def test_part_and_resume_headers(self) -> None:
         parts = (
             PartAssignment("i-2", "10.0.0.2", 80, "t-1"),
             PartAssignment("i-3", "10.0.0.3", 81),
         )
-        sent = ForwardMetadata("i-1", "", 1.0, 0, "7", parts)
-        passed = self.dialect.forward_headers([(b"Last-Event-Id", b"3")], sent)
-        named = dict(passed)
-        self.assertEqual(named[b"Helpers"], b"10.0.0.2:80/t-1,10.0.0.3:81")
+        forward = ForwardMetadata("i-1", "", 1.0, 0, "7", parts)
+        passed = self.dialect.forward_headers([(b"Last-Event-Id", b"3")], forward)
+        value_by_name = dict(passed)
+        self.assertEqual(value_by_name[b"Helpers"], b"10.0.0.2:80/t-1,10.0.0.3:81")
         self.assertEqual([value for name, value in passed if name == b"Last-Event-Id"], [b"7"])
-        self.assertNotIn(b"X-Tenant", named)
+        self.assertNotIn(b"X-Tenant", value_by_name)
 
-    def test_a_worker_that_did_not_run_says_so(self) -> None:
+    def test_not_executed_and_load_are_parsed(self) -> None:
         self.assertTrue(self.dialect.read_head(421, []).not_executed)
         self.assertTrue(self.dialect.read_head(503, [(b"X-Not-Executed", b"1")]).not_executed)
         self.assertFalse(self.dialect.read_head(503, []).not_executed)
@@ -163,17 +176,17 @@
         assert head.load is not None
         self.assertEqual((head.load.running, head.load.waiting, head.is_event_stream), (3, 1, True))
 
-    def test_where_the_upstream_at_fault_is(self) -> None:
-        def at_fault(text: bytes) -> Endpoint | None:
+    def test_failed_endpoint_is_parsed(self) -> None:
+        def failed_endpoint_of(text: bytes) -> Endpoint | None:
             return self.dialect.read_head(503, [(b"At-Server", text)]).failed_endpoint
 
-        self.assertEqual(at_fault(b"10.2.64.46:8564"), Endpoint("10.2.64.46", 8564))
-        for spoiled in (b"", b"i-7f3a91c2", b"host:1", b"10.2.64.46:x", b"\xff"):
-            self.assertIsNone(at_fault(spoiled))
+        self.assertEqual(failed_endpoint_of(b"10.2.64.46:8564"), Endpoint("10.2.64.46", 8564))
+        for invalid in (b"", b"i-7f3a91c2", b"host:1", b"10.2.64.46:x", b"\xff"):
+            self.assertIsNone(failed_endpoint_of(invalid))
 
 
 class ReportTest(unittest.TestCase):
-    def test_a_report_is_read_or_the_call_failed(self) -> None:
+    def test_invalid_report_fails_the_call(self) -> None:
         async def work() -> None:
             platform = LocalPlatform(the_loop()[1], engines=1, instances=0)
             await platform.start()
@@ -182,11 +195,11 @@
                 assert worker.server.port is not None
                 port = worker.server.port.getHost().port
                 reports = PlatformReports(platform.http)
-                report = await reports.read_report("127.0.0.1", port, 2.0, lambda said: None)
+                report = await reports.read_report("127.0.0.1", port, 2.0, lambda head: None)
                 self.assertEqual(report, EngineReport(running=0, waiting=0))
                 worker.spoils_reports = True
                 with self.assertRaises(CallFailedError):
-                    await reports.read_report("127.0.0.1", port, 2.0, lambda said: None)
+                    await reports.read_report("127.0.0.1", port, 2.0, lambda head: None)
             finally:
                 await platform.stop()
 
@@ -194,7 +207,7 @@
 
 
 class StoreTest(unittest.TestCase):
-    def test_pages_are_joined(self) -> None:
+    def test_pages_are_merged(self) -> None:
         async def work() -> None:
             platform = LocalPlatform(the_loop()[1], engines=3, plain=4, instances=0)
             await platform.start()
@@ -214,7 +227,7 @@
 
         run_async(work())
 
-    def test_a_watch_tells_the_last_change_or_that_it_cannot(self) -> None:
+    def test_watch_returns_the_last_change_or_none(self) -> None:
         async def work() -> None:
             platform = LocalPlatform(the_loop()[1], engines=1, plain=0, instances=0)
             await platform.start()
@@ -240,7 +253,7 @@
 
         run_async(work())
 
-    def test_an_answer_that_names_no_revision_proves_nothing(self) -> None:
+    def test_response_without_revision_fails(self) -> None:
         async def work() -> None:
             http = _ScriptedHttp()
             store = PlatformStore(http, "store:1")
@@ -257,7 +270,7 @@
 
 
 class _ScriptedHttp(HttpClient):
-    """Answers every call alike."""
+    """Returns the same body for every call."""
 
     def __init__(self) -> None:
         self.body = b""
@@ -268,17 +281,17 @@
         url: str,
         stall: float,
         longest: float,
-        on_head: Callable[[StreamedResponse], None] = lambda start: None,
+        on_head: Callable[[StreamedResponse], None] = lambda response: None,
     ) -> HttpResponse:
         on_head(StreamedResponse(200, {}, None))
         return HttpResponse(200, {}, self.body)
 
 
 class TemplateTest(unittest.TestCase):
-    def test_the_template_makes_sound_settings(self) -> None:
+    def test_template_yields_valid_settings(self) -> None:
         text = (ROOT / "deploy/settings.json").read_text()
-        filled = re.sub(r"\{\{([^}]+)\}\}", lambda gap: FIELDS[gap.group(1)], text)
-        path = Path(self.enterContext(_folder())) / "settings.json"
+        filled = re.sub(r"\{\{([^}]+)\}\}", lambda field: TEMPLATE_VALUES[field.group(1)], text)
+        path = Path(self.enterContext(_temporary_folder())) / "settings.json"
         path.write_text(filled)
         settings = read_relay_settings(str(path))
         self.assertEqual(settings.limits.key_ms, 5000)
@@ -288,7 +301,7 @@
         self.assertEqual(json.loads(filled)["data_center"], "north")
 
 
-def _folder() -> "tempfile.TemporaryDirectory[str]":
+def _temporary_folder() -> "tempfile.TemporaryDirectory[str]":
     return tempfile.TemporaryDirectory()
 
 
