--- a/pondpin/controllers/peers.py
+++ b/pondpin/controllers/peers.py
@@ -357,14 +357,14 @@
     def __init__(
         self,
         platform: PlatformPort,
-        book: PeerRegistry,
+        registry: PeerRegistry,
         mark_upstream: Callable[[str, bool], None],
         period: float,
     ) -> None:
         super().__init__()
         self.period = period
         self._platform = platform
-        self._registry = book
+        self._registry = registry
         self._mark_upstream = mark_upstream
 
     async def step(self) -> None:
@@ -384,9 +384,9 @@
                 self._mark_upstream(item.name, item.state == LEAVING)
 
 
-def find_peer(book: PeerRegistry, instance: str, incarnation: int) -> Peer | None:
+def find_peer(registry: PeerRegistry, instance: str, incarnation: int) -> Peer | None:
     """The peer with this instance name and incarnation; None if unknown."""
-    peer = book.table.get(instance)
+    peer = registry.table.get(instance)
     if peer is None or peer.incarnation != incarnation:
         return None
     return replace(peer)
--- a/pondpin/filters/completion.py
+++ b/pondpin/filters/completion.py
@@ -113,7 +113,7 @@
         while True:
             grant = await self._acquire(call, progress)
             if self._is_unavailable(grant):
-                # It changed while a group's reservations were awaited.
+                # An engine's state changed while a group's reservations were awaited.
                 self._scheduler.release(grant)
                 continue
             try:
@@ -231,10 +231,10 @@
         if not self._crash_monitor.allows_retry(call.identity):
             next_step = NextStep(Step.GIVE_UP, Code.UPSTREAM_LOST)
         self._record_failure(call, grant, failure, next_step.step.value)
-        not_run = failure is Failure.NOT_SENT or failure in NOT_RUN_FAILURES
-        not_run = not_run and progress.delivered == 0 and not progress.may_have_run
-        progress.may_have_run = progress.may_have_run or not not_run
-        ran = Ran.NOT_RUN if not_run else Ran.UNKNOWN
+        proven_not_run = failure is Failure.NOT_SENT or failure in NOT_RUN_FAILURES
+        proven_not_run = proven_not_run and progress.delivered == 0 and not progress.may_have_run
+        progress.may_have_run = progress.may_have_run or not proven_not_run
+        ran = Ran.NOT_RUN if proven_not_run else Ran.UNKNOWN
         if next_step.step is not Step.ELSEWHERE:
             raise PondpinError(next_step.code, ran=ran, retry_after=1.0)
         if failure is Failure.LEAVING:
--- a/pondpin/tests/test_platform.py
+++ b/pondpin/tests/test_platform.py
@@ -234,9 +234,9 @@
             try:
                 store = PlatformStore(platform.http, str(platform.source))
                 first = platform.store.item_by_key["op/config"].revision
-                now = platform.store.revision
+                current = platform.store.revision
                 change = await store.read_change(first, 2.0)
-                self.assertEqual(change, ConfigurationChange(None, now, FIRST_EPOCH))
+                self.assertEqual(change, ConfigurationChange(None, current, FIRST_EPOCH))
                 platform.publish(2)
                 newest = platform.publish(3)
                 change = await store.read_change(first, 2.0)
