--- a/pondpin/platform/paths.py
+++ b/pondpin/platform/paths.py
@@ -1,3 +1,3 @@
-"""Paths that the platform calls."""
+"""Paths that the platform requests."""
 
 READY_PATH = "/v1/readyz"
