--- a/pondpin/tests/test_relay_limit_log.py
+++ b/pondpin/tests/test_relay_limit_log.py
@@ -66,7 +66,7 @@
     def test_invalid_limit_is_logged_once_and_ignored(self) -> None:
         self.receive(limit=1.0)
         for _ in range(3):
-            self.receive(odd_limit="many")
+            self.receive(invalid_limit="many")
         line = self.lines("upstream_limit")[-1]
         self.assertEqual((line["odd"], line["limit"], line["before"]), ("many", 1.0, 1.0))
         self.assertEqual(len(self.lines("upstream_limit")), 2)
