--- a/pondpin/platform/store.py
+++ b/pondpin/platform/store.py
@@ -191,8 +191,8 @@
     epoch = 0 if text is None else _parse_epoch(text)
     return SourceHead(
         epoch=epoch or 0,
-        odd_epoch="" if epoch is not None else text or "an empty value",
-        unknown=tuple(
+        invalid_epoch="" if epoch is not None else text or "an empty value",
+        unknown_headers=tuple(
             (name, value)
             for name, value in headers.items()
             if name.startswith(STORE_HEADER_PREFIX) and name != EPOCH_HEADER
--- a/pondpin/relay/attempts/crash_guard.py
+++ b/pondpin/relay/attempts/crash_guard.py
@@ -61,7 +61,7 @@
             await self.records.admit(call, progress)
         else:
             progress.suspected = False
-            progress.spent_releases = frozenset()
+            progress.failed_releases = frozenset()
 
     def _is_synced(self) -> bool:
         if self.quarantine_sync.is_synced or not self.quarantine_sync.hosts():
--- a/pondpin/relay/attempts/passive_health.py
+++ b/pondpin/relay/attempts/passive_health.py
@@ -97,10 +97,10 @@
             return
         self._notices.handle_head(SentRequest(lead.id, lead.life, REQUEST, sent_at), head)
         if head.status < FIRST_SERVER_ERROR:
-            lead.standing.record_accepted(self._clock())
+            lead.availability.record_accepted(self._clock())
 
 
 def asked_for_rest(state: UpstreamState, since: float) -> bool:
     """Whether an upstream has asked for rest since a moment."""
-    rest = state.standing.rest
+    rest = state.availability.rest
     return rest is not None and rest.until > rest.received_at >= since
--- a/pondpin/relay/attempts/permit_acquirer.py
+++ b/pondpin/relay/attempts/permit_acquirer.py
@@ -67,7 +67,7 @@
             progress.permit = found
 
     def _is_stale(self, state: UpstreamState) -> bool:
-        reported = state.standing.limit
+        reported = state.availability.limit
         if reported is None:
             return False
         rechecked_at = self._rechecked_at_by_life.get(state.life, reported.received_at)
--- a/pondpin/relay/attempts/placer.py
+++ b/pondpin/relay/attempts/placer.py
@@ -39,7 +39,7 @@
     """Plans attempts; raises PondpinError if no upstream can take a request."""
 
     planner: Planner
-    turns: Dispatcher
+    dispatcher: Dispatcher
     leases: Callable[[], "LeaseManager"]
     send_checks: SendChecks
     table: UpstreamTable
@@ -105,7 +105,7 @@
             await asyncio.sleep(wait)
 
     def _has_limited(self, call: RelayCall) -> bool:
-        if not self.table.standings.any_limit_reported:
+        if not self.table.availability_table.any_limit_reported:
             return False
         return any(state.is_limited for state in self.table.of_service(call.service))
 
@@ -118,10 +118,10 @@
         """Seconds until a rest is over; None if that is too late, or no rest is the cause."""
         now = self.clock()
         states = self._untried(call, progress)
-        cause = find_unavailability((state.standing for state in states), now)
+        cause = find_unavailability((state.availability for state in states), now)
         if cause is not None:
             wait = cause.resume_at - now + WAKE_MARGIN_SECONDS
-        elif any(state.bar(now) is BlockReason.SLOW_START for state in states):
+        elif any(state.block_reason(now) is BlockReason.SLOW_START for state in states):
             wait = RETURN_POLL_SECONDS
         else:
             return None
@@ -141,7 +141,7 @@
             spread = min(MAX_SPREAD_SECONDS, RETRY_SECONDS + wait) * self.rng.random()
             return PondpinError(Code.UPSTREAMS_LIMITED, call.service, retry_after=wait + spread)
         states = self._untried(call, progress) or self.table.of_service(call.service)
-        cause = find_unavailability((state.standing for state in states), now)
+        cause = find_unavailability((state.availability for state in states), now)
         if cause is None:
             return PondpinError(Code.NO_UPSTREAM, call.service, retry_after=RETRY_SECONDS)
         if cause.reason is BlockReason.LEAVING:
@@ -159,23 +159,23 @@
                 plan = self.planner.plan(call, progress, avoid)
                 if plan is None:
                     return None
-                decision = self.turns.decide(call, progress, plan, entry)
+                decision = self.dispatcher.decide(call, progress, plan, entry)
                 if decision is DispatchDecision.SEND:
                     return plan
                 if decision is DispatchDecision.REFUSE:
                     raise self._too_late_error(call, plan)
-                entry = self.turns.update_queue(call, progress, plan, entry, decision)
+                entry = self.dispatcher.update_queue(call, progress, plan, entry, decision)
                 await self._wait_to_replan(plan, entry, decision)
         finally:
-            self.turns.dequeue(entry)
+            self.dispatcher.dequeue(entry)
 
     async def _wait_to_replan(
         self, plan: Plan, entry: QueueEntry | None, decision: DispatchDecision
     ) -> None:
         planned_at = self.clock()
-        await asyncio.sleep(self.turns.replan_delay(plan, decision))
-        while not self.turns.should_replan(entry, planned_at):
-            await asyncio.sleep(self.turns.replan_delay(plan, decision))
+        await asyncio.sleep(self.dispatcher.replan_delay(plan, decision))
+        while not self.dispatcher.should_replan(entry, planned_at):
+            await asyncio.sleep(self.dispatcher.replan_delay(plan, decision))
 
     def _too_late_error(self, call: RelayCall, plan: Plan) -> PondpinError:
         assert plan.choice is not None, "only prompts wait"
--- a/pondpin/relay/attempts/quarantine_records.py
+++ b/pondpin/relay/attempts/quarantine_records.py
@@ -65,9 +65,9 @@
         """Admit a request to placement, or raise PondpinError; see CrashGuard."""
         limit = min(call.deadline, self.clock() + HOLD_SECONDS)
         while True:
-            judgement = self.judge(call)
+            judgement = self.assess(call)
             progress.suspected = judgement.verdict is Verdict.SUSPECTED
-            progress.spent_releases = judgement.failed_releases
+            progress.failed_releases = judgement.failed_releases
             if judgement.verdict is Verdict.QUARANTINED:
                 raise self._refusal(call, judgement)
             if not progress.suspected:
@@ -81,7 +81,7 @@
                 raise PondpinError(Code.SUSPECTED, detail, retry_after=RETRY_SECONDS)
             await asyncio.sleep(POLL_SECONDS)
 
-    def judge(self, call: RelayCall) -> Assessment:
+    def assess(self, call: RelayCall) -> Assessment:
         """The verdict on a request now."""
         states = self.table.of_service(call.service)
         surroundings = AssessmentContext(
@@ -101,7 +101,7 @@
 
         is_begun: the request's own run has begun, and is not another one.
         """
-        judgement = self.judge(call)
+        judgement = self.assess(call)
         if judgement.verdict is Verdict.FREE:
             return ""
         if judgement.verdict is Verdict.QUARANTINED or not progress.suspected:
@@ -111,7 +111,7 @@
 
     def allows_retry(self, call: RelayCall, end: AttemptEnd) -> bool:
         """Whether the verdict allows a retry after an attempt."""
-        judgement = self.judge(call)
+        judgement = self.assess(call)
         if judgement.verdict is Verdict.FREE:
             return True
         if not end.may_have_run:
--- a/pondpin/relay/attempts/request_log.py
+++ b/pondpin/relay/attempts/request_log.py
@@ -138,7 +138,7 @@
                 leases=len(group.places) if group is not None else 0,
                 resume_after=str(progress.last_event_number) if progress.events else "",
                 identity=format_identity(call.identity),
-                bar=plan.lead.standing.block_reason(now).value,
+                bar=plan.lead.availability.block_reason(now).value,
                 limit=plan.lead.limit,
             )
         )
--- a/pondpin/relay/call.py
+++ b/pondpin/relay/call.py
@@ -125,7 +125,7 @@
     # A request suspected of crashing upstreams runs on a single one, with the fewest other requests
     # and a software release that it hasn't crashed.
     suspected: bool = False
-    spent_releases: frozenset[int] = frozenset()
+    failed_releases: frozenset[int] = frozenset()
     # The unused permit for the next send to a rate-limited upstream.
     permit: "Permit | None" = None
 
--- a/pondpin/relay/choosing/planner.py
+++ b/pondpin/relay/choosing/planner.py
@@ -150,7 +150,9 @@
             share = connection_share(service.max_connections, self._instance_count())
             states = [state for state in states if state.own_in_flight < share]
         if progress.suspected:
-            states = isolation_candidates(self._visible(states, True), progress.spent_releases, now)
+            states = isolation_candidates(
+                self._visible(states, True), progress.failed_releases, now
+            )
             # Random, so that suspected requests of several instances use different engines.
             states = [self._rng.choice(states[len(states) // 2 :])] if states else []
         if not states:
--- a/pondpin/relay/entry.py
+++ b/pondpin/relay/entry.py
@@ -146,7 +146,7 @@
             lambda state: self.gossip.limits.issuer.has_spare(state),
         )
         dispatcher = Dispatcher(
-            self.gossip.calendar,
+            self.gossip.prefill_queue,
             steady_now,
             self.rng,
             self.gossip.send_soon,
@@ -167,7 +167,7 @@
             quarantine_sync=self.gossip.quarantine_sync,
             tracker=RunTracker(self.http.try_connect, self.table, self.log, steady_now),
             table=self.table,
-            turn=self.gossip.turn_of,
+            turn=self.gossip.trial_rank,
             list_at=lambda: self.publication.list_at,
             policy=policy,
             metrics=self.metrics,
@@ -187,7 +187,7 @@
         )
         placer = Placer(
             planner=planner,
-            turns=dispatcher,
+            dispatcher=dispatcher,
             leases=lambda: self.lazy.leases,
             send_checks=checks,
             table=self.table,
--- a/pondpin/relay/lazy_components.py
+++ b/pondpin/relay/lazy_components.py
@@ -147,13 +147,13 @@
         table = self._gossip.table
         return (
             self._gossip.limits.issuer.due_for_recheck()
-            if table.standings.any_limit_reported
+            if table.availability_table.any_limit_reported
             else []
         )
 
     def expire(self) -> None:
         """Drop the state of upstreams that have no limit any more."""
-        if self._gossip.table.standings.any_limit_reported:
+        if self._gossip.table.availability_table.any_limit_reported:
             self._gossip.limits.issuer.expire()
 
     async def wait_released(self) -> None:
--- a/pondpin/relay/operator_api.py
+++ b/pondpin/relay/operator_api.py
@@ -147,7 +147,7 @@
         round(age, 2),
         round(left, 2),
         state.own_in_flight,
-        limit_number(state.standing.limit),
+        limit_number(state.availability.limit),
         "" if owner is None else owner.instance,
         0.0 if owner is None else round(owner.share, 3),
     )
@@ -155,10 +155,10 @@
 
 def _state_of(state: UpstreamState, now: float) -> tuple[str, str, float, float]:
     """The state, its source, its age and the seconds until its end."""
-    standing, health = state.standing, state.health
+    standing, health = state.availability, state.health
     if standing.leaving is not None:
         return "leaves", standing.leaving.source, now - standing.leaving.at, -1.0
-    bar = state.bar(now)
+    bar = state.block_reason(now)
     if bar and standing.rest is not None:
         left = max(0.0, standing.rest.resume_at - now)
         return bar.value, "its answer", now - standing.rest.received_at, left
@@ -172,7 +172,7 @@
 
 
 def _accepting_state(state: UpstreamState, now: float) -> tuple[str, str, float, float]:
-    stated = state.standing.limit
+    stated = state.availability.limit
     if stated is None or stated.limit is None:
         return "takes requests", "", -1.0, -1.0
     return "takes some by permit", stated.source, now - stated.received_at, -1.0
@@ -185,7 +185,7 @@
     table: UpstreamTable
     publication: Publication
     metrics: Metrics
-    guard: CrashGuard
+    crash_guard: CrashGuard
     permit_issuer: PermitIssuerSource
     clock: Clock
 
@@ -215,13 +215,13 @@
         for state in limited:
             labels = {"upstream": state.id}
             issuer = self.permit_issuer()
-            self.metrics.upstream_limit.set(labels, limit_number(state.standing.limit))
+            self.metrics.upstream_limit.set(labels, limit_number(state.availability.limit))
             rate = issuer.rate(state) if issuer.is_owner(state) else 0.0
             self.metrics.upstream_permits.set(labels, rate)
 
     def _show_or_lift(self, incoming: IncomingRequest, reply: Reply) -> None:
         if incoming.method == "GET":
-            reply.send_json(HeldRequests(held_requests(self.guard)))
+            reply.send_json(HeldRequests(held_requests(self.crash_guard)))
             return
         if incoming.method != "DELETE":
             raise PondpinError(Code.METHOD_NOT_ALLOWED)
@@ -230,9 +230,9 @@
             identity = int(name, 16)
         except ValueError:
             raise PondpinError(Code.INVALID_FIELD, f"{name!r} is not a request identity") from None
-        reply.send_json(QuarantineLifted(name, self.guard.records.lift(identity)))
+        reply.send_json(QuarantineLifted(name, self.crash_guard.records.lift(identity)))
 
 
 def _is_resting(state: UpstreamState, now: float) -> bool:
-    rest = state.standing.rest
+    rest = state.availability.rest
     return rest is not None and now < rest.resume_at
--- a/pondpin/relay/peers/digest_builder.py
+++ b/pondpin/relay/peers/digest_builder.py
@@ -59,9 +59,11 @@
             remote_hosts=self._sample(remote),
             interval_ms=round_up_ms(PERIOD_SECONDS),
             wants_reply=False,
-            queued_prompts=gossip.calendar.digest(now),
+            queued_prompts=gossip.prefill_queue.digest(now),
             quarantine_tag=gossip.quarantine.fingerprint,
-            limits=gossip.limits.digests(now) if table.standings.any_limit_reported else (),
+            limits=gossip.limits.digests(now)
+            if table.availability_table.any_limit_reported
+            else (),
             issues_permits=not gossip.is_stopping,
             epoch=publication.epoch,
             version=in_force.version if publication.configuration is not None else None,
--- a/pondpin/relay/peers/digests.py
+++ b/pondpin/relay/peers/digests.py
@@ -168,10 +168,10 @@
         )
         self.by_host[digest.host] = record
         self._seen_at_by_data_center[record.data_center] = now
-        self._note_alive(record, last)
+        self._add_alive(record, last)
         return True
 
-    def _note_alive(self, record: PeerRecord, last: PeerRecord | None) -> None:
+    def _add_alive(self, record: PeerRecord, last: PeerRecord | None) -> None:
         is_same = last is not None and last.instance == record.instance
         if not is_same or record.host not in self._alive_by_host:
             self.change_count += 1
--- a/pondpin/relay/peers/gossip.py
+++ b/pondpin/relay/peers/gossip.py
@@ -68,7 +68,7 @@
     rng: random.Random
     reads_source: Callable[[], bool]
     is_settled: Callable[[], bool] = lambda: True
-    calendar: PrefillQueue = field(default_factory=PrefillQueue)
+    prefill_queue: PrefillQueue = field(default_factory=PrefillQueue)
     quarantine: Quarantine = field(default_factory=Quarantine)
     sequence: int = 0
     bytes_out: int = 0
@@ -134,7 +134,7 @@
         """Rank among the live peers that read the source."""
         return self.peer_table.rank(self.instance, self.table.data_center, now)
 
-    def turn_of(self, identity: int) -> int:
+    def trial_rank(self, identity: int) -> int:
         """Position among the live instances in the order for a request."""
         return compute_trial_rank(identity, self.instance, self._live)
 
@@ -194,7 +194,7 @@
         interval = digest.interval_ms / MILLISECONDS
         until = now + max(PEER_LOAD_SECONDS, ALIVE_INTERVALS * interval)
         self.table.update_peer_work(digest.instance, digest.work, now, until)
-        self.calendar.update_peer(digest.instance, digest.queued_prompts, now, until)
+        self.prefill_queue.update_peer(digest.instance, digest.queued_prompts, now, until)
         self.table.data_center_loads.update(digest.data_center, digest.data_center_loads, now)
         if digest.wants_reply:
             self._reply(digest, now)
--- a/pondpin/relay/peers/limit_messages.py
+++ b/pondpin/relay/peers/limit_messages.py
@@ -50,7 +50,7 @@
     table: UpstreamTable, lives: Iterable[int], now: float
 ) -> tuple[LimitDigest, ...]:
     """The digests of the limits of some lives, without lives that never had one."""
-    limit_words = [(life, table.standings.get_or_create(life).limit) for life in lives]
+    limit_words = [(life, table.availability_table.get_or_create(life).limit) for life in lives]
     return tuple(
         LimitDigest(
             life,
@@ -80,8 +80,8 @@
     lives = [
         state.life
         for state in table.by_id.values()
-        if state.standing.limit is not None
-        and (state.is_limited or now - state.standing.limit.received_at < LIFTED_SEND_SECONDS)
+        if state.availability.limit is not None
+        and (state.is_limited or now - state.availability.limit.received_at < LIFTED_SEND_SECONDS)
     ]
     if len(lives) <= MAX_DIGEST_LIMITS:
         return lives
--- a/pondpin/relay/peers/limit_sync.py
+++ b/pondpin/relay/peers/limit_sync.py
@@ -61,9 +61,9 @@
                 self._apply(digest.life, limit_word, now)
 
     def _apply(self, life: int, limit_word: LimitReport, now: float) -> None:
-        standing = self.table.standings.get_or_create(life)
+        standing = self.table.availability_table.get_or_create(life)
         before = limit_number(standing.limit)
-        if apply_limit(self.table.standings, life, limit_word, now):
+        if apply_limit(self.table.availability_table, life, limit_word, now):
             self.log.write(
                 UpstreamLimit(
                     upstream=self.table.label_of(life),
--- a/pondpin/relay/peers/permit_issuer.py
+++ b/pondpin/relay/peers/permit_issuer.py
@@ -113,7 +113,7 @@
         self.log.write(
             PermitOwnerChanged(
                 upstream=state.id,
-                limit=limit_number(state.standing.limit),
+                limit=limit_number(state.availability.limit),
                 home=owner.instance,
                 share=round(owner.share, 3),
             )
@@ -125,7 +125,7 @@
 
     def rate(self, state: UpstreamState) -> float:
         """Permits a second that the owner of an upstream's life may issue."""
-        limit_word = state.standing.limit
+        limit_word = state.availability.limit
         limit = 0.0 if limit_word is None or limit_word.limit is None else limit_word.limit
         return limit * self.owner(state).share
 
@@ -202,11 +202,11 @@
         return due
 
     def _is_recheck_due(self, state: UpstreamState, now: float) -> bool:
-        limit_word = state.standing.limit
+        limit_word = state.availability.limit
         if (
             limit_word is None
             or limit_word.limit != 0
-            or state.bar(now)
+            or state.block_reason(now)
             or not self.is_owner(state)
         ):
             return False
--- a/pondpin/relay/ports.py
+++ b/pondpin/relay/ports.py
@@ -66,8 +66,8 @@
     """
 
     epoch: int = 0
-    odd_epoch: str = ""
-    unknown: tuple[tuple[str, str], ...] = ()
+    invalid_epoch: str = ""
+    unknown_headers: tuple[tuple[str, str], ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
--- a/pondpin/relay/published/source_monitor.py
+++ b/pondpin/relay/published/source_monitor.py
@@ -26,9 +26,9 @@
     def receive_head(self, head: SourceHead) -> None:
         """Report the epoch; log unknown headers and odd epochs once."""
         self._on_epoch(head.epoch)
-        if head.odd_epoch:
-            self._log_once(EPOCH, head.odd_epoch)
-        for name, value in head.unknown:
+        if head.invalid_epoch:
+            self._log_once(EPOCH, head.invalid_epoch)
+        for name, value in head.unknown_headers:
             self._log_once(name, value)
 
     def _log_once(self, name: str, value: str) -> None:
--- a/pondpin/relay/upstreams/limit_handler.py
+++ b/pondpin/relay/upstreams/limit_handler.py
@@ -46,21 +46,21 @@
         """
         notice = head.notice
         if notice.invalid_limit and self._should_log(life, f"limit {notice.invalid_limit}"):
-            standing = self._table.standings.get_or_create(life)
+            standing = self._table.availability_table.get_or_create(life)
             self._log_limit(
                 life, limit_number(standing.limit), request.purpose, notice.invalid_limit
             )
         if notice.limit is None and not self._may_lift(life, request, notice):
             return
-        before = limit_number(self._table.standings.get_or_create(life).limit)
+        before = limit_number(self._table.availability_table.get_or_create(life).limit)
         stated = LimitReport(notice.limit, request.sent_at, now, ANSWER_SOURCE)
-        if apply_limit(self._table.standings, life, stated, now):
+        if apply_limit(self._table.availability_table, life, stated, now):
             self._log_limit(life, before, request.purpose)
             self._broadcast(life, now)
 
     def _may_lift(self, life: int, request: SentRequest, notice: Notice) -> bool:
         """Whether an answer without a limit lifts the known limit."""
-        known = self._table.standings.by_life.get(life)
+        known = self._table.availability_table.by_life.get(life)
         if notice.invalid_limit or known is None or known.limit is None:
             return False
         if request.purpose == REQUEST:
@@ -68,7 +68,7 @@
         return request.purpose == LIVENESS_CHECK and known.limit.limit == 0
 
     def _log_limit(self, life: int, before: float, purpose: str, odd: str = "") -> None:
-        stated = self._table.standings.get_or_create(life).limit
+        stated = self._table.availability_table.get_or_create(life).limit
         self._log.write(
             UpstreamLimit(
                 upstream=self._table.label_of(life),
--- a/pondpin/relay/upstreams/notice_handler.py
+++ b/pondpin/relay/upstreams/notice_handler.py
@@ -77,7 +77,7 @@
             self._get_limit_handler().handle_head(life, request, head, now)
         if not (notice.is_leaving or notice.rest or notice.invalid_rest):
             return
-        if not self._table.standings.apply_notice(life, notice, ANSWER_SOURCE, now):
+        if not self._table.availability_table.apply_notice(life, notice, ANSWER_SOURCE, now):
             return
         if notice.rest > 0:
             self._metrics.rests_requested.inc({})
@@ -89,7 +89,11 @@
         """Whether a head states or may lift a limit, or has unknown headers."""
         notice = head.notice
         names_limit = notice.limit is not None or bool(notice.invalid_limit)
-        return names_limit or bool(head.unknown_headers) or self._table.standings.any_limit_reported
+        return (
+            names_limit
+            or bool(head.unknown_headers)
+            or self._table.availability_table.any_limit_reported
+        )
 
     def _get_limit_handler(self) -> "LimitHandler":
         """Load the handler on first use, as few upstreams have limits."""
@@ -115,7 +119,7 @@
     def _log_notice(self, life: int, head: ResponseHead, purpose: str, now: float) -> None:
         state = self._table.by_life(life)
         list_at = self._list_at()
-        rest = self._table.standings.get_or_create(life).rest
+        rest = self._table.availability_table.get_or_create(life).rest
         self._log.write(
             UpstreamNotice(
                 upstream=self._table.label_of(life),
--- a/pondpin/relay/upstreams/probe.py
+++ b/pondpin/relay/upstreams/probe.py
@@ -51,5 +51,5 @@
 
 def is_probe_due(state: UpstreamState, now: float) -> bool:
     """Whether an ejected upstream may be probed."""
-    is_barred = state.bar(now) in (BlockReason.LEAVING, BlockReason.RESTING)
+    is_barred = state.block_reason(now) in (BlockReason.LEAVING, BlockReason.RESTING)
     return state.needs_probe and not is_barred and not state.health.is_ejected(now)
--- a/pondpin/relay/upstreams/prober.py
+++ b/pondpin/relay/upstreams/prober.py
@@ -54,6 +54,6 @@
         if passed:
             state.record_probe_passed()
             self.log.write(UpstreamRestored(upstream=state.id))
-        elif state.needs_probe and state.bar(self.clock()) is BlockReason.NONE:
+        elif state.needs_probe and state.block_reason(self.clock()) is BlockReason.NONE:
             # A failed check of an upstream that is leaving or rests is no fault.
             self.table.record_failure(state, self.clock(), certain=True)
--- a/pondpin/relay/upstreams/reports.py
+++ b/pondpin/relay/upstreams/reports.py
@@ -45,7 +45,7 @@
         An engine that rests is not queried: it has answered and wants no calls until its rest is
         over.
         """
-        if state.bar(self._clock()) is BlockReason.RESTING:
+        if state.block_reason(self._clock()) is BlockReason.RESTING:
             return True
         if self._clock() - state.report_at < REPORT_CACHE_SECONDS:
             return True
--- a/pondpin/relay/upstreams/restarts.py
+++ b/pondpin/relay/upstreams/restarts.py
@@ -30,7 +30,7 @@
     if born is None:
         return
     age = wall_now() - born / MS_PER_SECOND
-    standings = table.standings
+    standings = table.availability_table
     earlier, later = (
         standings.get_or_create(restart.earlier.life),
         standings.get_or_create(restart.later.life),
--- a/pondpin/relay/upstreams/state.py
+++ b/pondpin/relay/upstreams/state.py
@@ -69,7 +69,7 @@
     listed: ListedUpstream
     order: int = 0
     # Shared by all states of the same life.
-    standing: Availability = field(default_factory=Availability)
+    availability: Availability = field(default_factory=Availability)
     ended: bool = False
     detects_silence: bool = True
     health: Health = field(default_factory=Health)
@@ -100,29 +100,29 @@
     @property
     def leaving(self) -> bool:
         """Whether this life is known to be shutting down."""
-        return self.standing.leaving is not None
+        return self.availability.leaving is not None
 
     @property
     def is_limited(self) -> bool:
         """Whether it set a limit for all instances, so that requests need permits."""
-        stated = self.standing.limit
+        stated = self.availability.limit
         return stated is not None and stated.limit is not None
 
     @property
     def limit(self) -> float:
         """Its limit in requests/s of all instances, -1 without one."""
-        stated = self.standing.limit
+        stated = self.availability.limit
         return -1.0 if stated is None or stated.limit is None else stated.limit
 
-    def bar(self, now: float) -> BlockReason:
+    def block_reason(self, now: float) -> BlockReason:
         """Why it must not get new requests: it leaves, rests or returns from a rest."""
-        return self.standing.block_reason(
-            now, self.own_in_flight if self.standing.rest is not None else 0
+        return self.availability.block_reason(
+            now, self.own_in_flight if self.availability.rest is not None else 0
         )
 
     def is_usable(self, now: float) -> bool:
         """Whether it may get new work."""
-        return not self.bar(now) and self.looks_healthy(now)
+        return not self.block_reason(now) and self.looks_healthy(now)
 
     def looks_healthy(self, now: float) -> bool:
         """Whether it is neither ejected nor suspected."""
--- a/pondpin/relay/upstreams/table.py
+++ b/pondpin/relay/upstreams/table.py
@@ -64,7 +64,7 @@
         self._left: dict[int, None] = {}
         # The listed ones in digest order, None if outdated.
         self._leaving_cache: tuple[int, ...] | None = None
-        self.standings: AvailabilityTable[int] = AvailabilityTable(
+        self.availability_table: AvailabilityTable[int] = AvailabilityTable(
             lambda life: life in self._by_life
         )
         self.silent_data_centers: frozenset[str] = frozenset()
@@ -113,7 +113,7 @@
         state = UpstreamState(
             item,
             order,
-            self.standings.get_or_create(item.life),
+            self.availability_table.get_or_create(item.life),
             detects_silence=Mechanism.SILENCE not in self._without,
         )
         self.by_id[item.id] = state
@@ -122,7 +122,7 @@
 
     def mark_leaving(self, life: int, source: str = "", now: float = 0.0) -> bool:
         """Mark a life as leaving, whatever its list entry says; True if it was not yet."""
-        self.standings.get_or_create(life).record_leaving(source, now)
+        self.availability_table.get_or_create(life).record_leaving(source, now)
         if life in self._left:
             return False
         self._left[life] = None
@@ -205,8 +205,8 @@
         present = [
             item
             for item in self.of_service(service)
-            if item.standing.is_empty
-            or (not item.bar(now) and (not item.is_limited or has_permit(item)))
+            if item.availability.is_empty
+            or (not item.block_reason(now) and (not item.is_limited or has_permit(item)))
         ]
         untried = [item for item in present if item.life not in tried] if tried else present
         healthy = [item for item in untried if item.looks_healthy(now)]
@@ -304,7 +304,7 @@
                 state
                 for state in self.of_service(service)
                 if state.listed.data_center == self.data_center
-                and not state.bar(now)
+                and not state.block_reason(now)
                 and not state.is_limited
             ]
             in_flight = sum(state.in_flight(now) for state in local)
@@ -329,7 +329,7 @@
         A rest binds only the instance that was asked; its peers prefer other upstreams.
         """
         for state in self.by_id.values():
-            rest = state.standing.rest
+            rest = state.availability.rest
             if state.health.ejected_until > now:
                 yield state.life, state.health.ejected_until - now
             elif rest is not None and rest.until > now:
--- a/pondpin/tests/test_relay_limit_fleet.py
+++ b/pondpin/tests/test_relay_limit_fleet.py
@@ -89,7 +89,7 @@
     def send(self, member: Gossip, upstream: Upstream, at: float) -> None:
         """Send a request to an upstream, whose answer names the limit."""
         upstream.wishes.note(member.instance, at, False, 0.0, upstream.limit)
-        standings = member.table.standings
+        standings = member.table.availability_table
         if upstream.limit is None and not standings.any_limit_reported:
             return
         limit_word = LimitReport(upstream.limit, self.now, self.now, "its answer")
--- a/pondpin/tests/test_relay_notice_fleet.py
+++ b/pondpin/tests/test_relay_notice_fleet.py
@@ -160,7 +160,7 @@
         head = ResponseHead(status, "a", bool(life.rest), None, False, True, None, "", notice, ())
         instance.notice_handler.handle_head(SentRequest(state.id, state.life, REQUEST, now), head)
         if not life.rest:
-            state.standing.record_accepted(now)
+            state.availability.record_accepted(now)
 
     def all_wishes(self) -> list[Wishes]:
         return [life.wishes for life in (*self.lives, *self.ended)]
--- a/pondpin/tests/test_relay_notice_matrix.py
+++ b/pondpin/tests/test_relay_notice_matrix.py
@@ -206,7 +206,9 @@
     def set_limit(self, entry: RelayEntry, name: str = "plain-0") -> UpstreamState:
         state = state_of(entry, name)
         now = entry.handler.clock()
-        apply_limit(entry.table.standings, state.life, LimitReport(2.0, now, now, "test"), now)
+        apply_limit(
+            entry.table.availability_table, state.life, LimitReport(2.0, now, now, "test"), now
+        )
         return state
 
     def limited_ids(self, entry: RelayEntry) -> list[str]:
@@ -219,9 +221,9 @@
                 state = self.set_limit(entry)
                 self.assertEqual(self.limited_ids(entry), ["plain-0"])
                 now = entry.handler.clock()
-                entry.table.standings.apply_notice(state.life, notice, "test", now)
+                entry.table.availability_table.apply_notice(state.life, notice, "test", now)
                 self.assertEqual(self.limited_ids(entry), [])
-                entry.table.standings.by_life[state.life].rest = None
+                entry.table.availability_table.by_life[state.life].rest = None
 
         self.play(work)
 
--- a/pondpin/tests/test_relay_notice_paths.py
+++ b/pondpin/tests/test_relay_notice_paths.py
@@ -70,17 +70,17 @@
 
     def bar(self, platform: LocalPlatform, name: str) -> BlockReason:
         entry = platform.entries[0]
-        return state_of(entry, name).bar(entry.handler.clock())
+        return state_of(entry, name).block_reason(entry.handler.clock())
 
     def test_refused_misdirected_and_failed_answers_carry_notices(self) -> None:
         async def work(platform: LocalPlatform) -> None:
             worker = platform.workers_by_id["plain-0"]
             for fault in (WorkerFault.SHED, WorkerFault.MISDIRECTED, WorkerFault.ERROR):
                 entry = platform.entries[0]
-                entry.table.standings.by_life.clear()
+                entry.table.availability_table.by_life.clear()
                 entry.table._left.clear()
                 for state in entry.table.by_id.values():
-                    state.standing = entry.table.standings.get_or_create(state.life)
+                    state.availability = entry.table.availability_table.get_or_create(state.life)
                 worker.says_leaving = True
                 fail_next(platform, fault, times=9)
                 for number in range(4):
@@ -132,7 +132,7 @@
                 platform.workers_by_id[name].id = f"new-{name}"
                 platform.workers_by_id[name].says_leaving = True
             await ask(platform, "again", "relay-0.first")
-            standings = entry.table.standings
+            standings = entry.table.availability_table
             announced = [
                 name
                 for name in ("new-plain-0", "new-plain-1")
@@ -273,7 +273,7 @@
                 matches = key[1:] == (state.listed.host.encode(), state.listed.port)
                 if matches and not notified:
                     notified.append(state.id)
-                    table.standings.apply_notice(state.life, notice, "test", clock())
+                    table.availability_table.apply_notice(state.life, notice, "test", clock())
             return original(pool, key, endpoint)
 
         return mock.patch.object(CheckedConnectionPool, "getConnection", connect), notified
@@ -283,10 +283,12 @@
             entry = platform.entries[0]
             for route, service in (("once", PLAIN), ("again", PLAIN), ("stream", ENGINES)):
                 for notice in (Notice(is_leaving=True), Notice(rest=5.0)):
-                    entry.table.standings.by_life.clear()
+                    entry.table.availability_table.by_life.clear()
                     entry.table._left.clear()
                     for state in entry.table.by_id.values():
-                        state.standing = entry.table.standings.get_or_create(state.life)
+                        state.availability = entry.table.availability_table.get_or_create(
+                            state.life
+                        )
                     for worker in platform.workers_by_id.values():
                         worker.wishes.arrivals.clear()
                     patch, notified = self.notice_on_connect(entry, service, notice)
@@ -313,7 +315,7 @@
                 result = await acquire(request, places, tokens)
                 if not notified and places:
                     notified.append(places[0].upstream)
-                    entry.table.standings.apply_notice(
+                    entry.table.availability_table.apply_notice(
                         places[0].life, Notice(rest=5.0), "test", entry.handler.clock()
                     )
                 return result
@@ -343,7 +345,7 @@
             broken.faults = [WorkerFault.CUT] * 99
             entry = platform.entries[0]
             life, now = state_of(entry, resting.id).life, entry.handler.clock()
-            entry.table.standings.apply_notice(life, Notice(rest=60.0), "test", now)
+            entry.table.availability_table.apply_notice(life, Notice(rest=60.0), "test", now)
             for number in range(24):
                 answer = await ask(platform, "stream", f"relay-0.s{number}")
                 self.assertEqual(answer.status, 200)
@@ -408,7 +410,7 @@
             await ask(platform, "again", "relay-0.first")
             now = entry.handler.clock()
             for state in entry.table.of_service(PLAIN):
-                self.assertIs(state.bar(now), BlockReason.RESTING)
+                self.assertIs(state.block_reason(now), BlockReason.RESTING)
                 self.assertEqual((state.health.failures, state.health.ejections), (0, 0))
                 self.assertEqual(state.failure_rate.current(now), 0.0)
                 state.needs_probe = True
--- a/pondpin/tests/test_source_monitor.py
+++ b/pondpin/tests/test_source_monitor.py
@@ -30,12 +30,12 @@
 
     def test_an_unknown_header_is_logged_once(self) -> None:
         for value in ("1", "2"):
-            self.monitor.receive_head(SourceHead(unknown=(("store-mood", value),)))
+            self.monitor.receive_head(SourceHead(unknown_headers=(("store-mood", value),)))
         self.assertEqual(self.logged(UnknownHeader), [UnknownHeader(name="store-mood", value="1")])
 
     def test_lines_on_unknown_headers_are_bounded(self) -> None:
         for number in range(3 * MAX_UNKNOWN_HEADERS):
-            self.monitor.receive_head(SourceHead(unknown=((f"store-{number}", "x" * 500),)))
+            self.monitor.receive_head(SourceHead(unknown_headers=((f"store-{number}", "x" * 500),)))
         self.assertEqual(len(self.log.events), MAX_UNKNOWN_HEADERS)
 
     def test_store_adapter_reports_unknown_headers_of_every_answer(self) -> None:
@@ -54,7 +54,7 @@
                 await platform.stop()
 
         run_async(scenario())
-        self.assertEqual(heads, [SourceHead(1, unknown=(("store-mood", "low"),))] * 2)
+        self.assertEqual(heads, [SourceHead(1, unknown_headers=(("store-mood", "low"),))] * 2)
 
 
 if __name__ == "__main__":
--- a/pondpin/tests/test_store_epochs.py
+++ b/pondpin/tests/test_store_epochs.py
@@ -41,8 +41,8 @@
 
     def test_invalid_epoch_counts_as_none(self) -> None:
         for text in ("-1", "two", "1.5", "1e3", "7, 7", "7,8", "\u0667", str(2**63), "9" * 400):
-            self.assertEqual(self.parse(text), Head(0, odd_epoch=text))
-        self.assertEqual(self.parse(""), Head(0, odd_epoch="an empty value"))
+            self.assertEqual(self.parse(text), Head(0, invalid_epoch=text))
+        self.assertEqual(self.parse(""), Head(0, invalid_epoch="an empty value"))
 
     def test_store_without_epochs_has_the_lowest_epoch(self) -> None:
         self.assertEqual(parse_source_head({"content-type": "application/json"}), Head())
--- a/pondpin/tests/test_store_fields.py
+++ b/pondpin/tests/test_store_fields.py
@@ -69,11 +69,11 @@
             head = parse_source_head({name: "7"})
             with self.subTest(name):
                 self.assertEqual(head.epoch == 7, handling == DECODED)
-                self.assertEqual(bool(head.unknown), handling == LOGGED)
+                self.assertEqual(bool(head.unknown_headers), handling == LOGGED)
         self.assertTrue(EPOCH_HEADER.startswith(STORE_HEADER_PREFIX))
         self.assertEqual(
             {field.name for field in dataclasses.fields(SourceHead)},
-            {"epoch", "odd_epoch", "unknown"},
+            {"epoch", "invalid_epoch", "unknown_headers"},
         )
 
     def test_fields_of_items_ranges_watches_and_entries(self) -> None:
--- a/pondpin/tests/test_suspended.py
+++ b/pondpin/tests/test_suspended.py
@@ -68,7 +68,7 @@
         table = PeerTable(1)
         peer = PeerRecord("a", 2, "10.0.0.1", 1, 1, steady_now(), "north", True)
         table.by_host[peer.host] = peer
-        table._note_alive(peer, None)
+        table._add_alive(peer, None)
         self.assertEqual(len(table.alive(steady_now())), 1)
         self.suspend()
         self.assertEqual(table.alive(steady_now()), [])
