--- a/pondpin/relay/choosing/engine_choice.py
+++ b/pondpin/relay/choosing/engine_choice.py
@@ -79,12 +79,12 @@
 
     @property
     def effective_gap_target(self) -> float:
-        """The strictest gap target that the prefill must respect."""
+        """The strictest gap target that the prefill has to meet."""
         return min(self.gap_target, self.service_gap_target)
 
     @property
     def weight(self) -> float:
-        """The weight of the request relative to others."""
+        """See request_weight."""
         return request_weight(self.prompt_tokens)
 
     @property
@@ -178,7 +178,7 @@
 
 
 def request_weight(tokens: int) -> float:
-    """The weight of a request by its prompt size."""
+    """The weight of a request relative to others, by its prompt size."""
     return max(MIN_WEIGHT, float((tokens / UNIT_WEIGHT_TOKENS) ** WEIGHT_EXPONENT))
 
 
@@ -288,7 +288,7 @@
     rng: random.Random,
     options: ChoiceOptions,
 ) -> EngineChoice | None:
-    """Choose count engines with the least loss for parts of part seconds each."""
+    """Choose count engines for parts of part seconds each."""
     costs = {
         engine.id: _interference(profile, engine, pool_rate if index < pool else 0.0, part)
         for index, engine in enumerate(engines)
--- a/pondpin/relay/choosing/planner.py
+++ b/pondpin/relay/choosing/planner.py
@@ -34,7 +34,7 @@
 MIN_LOCAL_ENGINES = 12
 # A light stream spills to a data centre with this many fewer requests per engine.
 SPILL_DIFFERENCE = 2.0
-# Usable share of a connection limit; the rest is for connections being closed.
+# Usable share of a connection limit; the remainder is for connections being closed.
 CONNECTIONS_SHARE = 0.9
 # Lower bound: callers are spread unevenly, and few instances are busy at once.
 MIN_CONNECTIONS = 4
@@ -88,12 +88,10 @@
 
     @property
     def id(self) -> str:
-        """See Engine."""
         return self.state.id
 
     @property
     def load(self) -> EngineLoad:
-        """See Engine."""
         if self.cached_load is None:
             self.cached_load = self.state.load(self.now)
         return self.cached_load
@@ -216,7 +214,7 @@
         now: float,
         max_parts: int,
     ) -> EngineChoice | None:
-        """Try remote engines when the local choice is late or overloaded."""
+        """Use remote engines when the local choice is late or overloaded."""
         late = local is None or local.first_event_seconds > job.target
         light = is_light(profile, job.prompt_tokens, job.effective_gap_target)
         spills = light and self._policy.has(Mechanism.SPILL)
@@ -253,7 +251,8 @@
         """The engines whose load is known here: in a large fleet the local ones.
 
         Light streams use these however few: with one pool over five data centres, each of which
-        knew a fifth of it, half of the short streams were late.
+        knew a fifth of it, the busiest of 15 engines had 3.5 times the mean load and half of the
+        short streams were late.
         """
         if self._table.all_peers_report_work:
             return states
@@ -313,7 +312,7 @@
         return state.listed.data_center == self._table.data_center
 
     def begin_attempt(self, call: RelayCall, progress: Progress, plan: Plan) -> int:
-        """Add an attempt's work to the ledgers; returns its key."""
+        """Record an attempt's work on its upstreams; returns its key."""
         now = self._clock()
         key = next(self._keys)
         choice = plan.choice
@@ -362,7 +361,7 @@
         self._send_if_long(plan)
 
     def end_attempt(self, plan: Plan, key: int) -> None:
-        """Remove an attempt's work from the ledgers."""
+        """Remove an attempt's work from its upstreams."""
         had_first_event = plan.lead.work_by_key[key].has_first_event
         for state in (plan.lead, *plan.helpers):
             state.work_by_key.pop(key, None)
@@ -376,6 +375,5 @@
         self._broadcast_long_prefill(plan)
 
     def _broadcast_long_prefill(self, plan: Plan) -> None:
-        """Report the start or end of a long prefill to every instance."""
         if plan.choice is not None and plan.choice.part_seconds >= LONG_PREFILL_SECONDS:
             self._broadcast_long_prefills()
--- a/pondpin/relay/choosing/prefill_queue.py
+++ b/pondpin/relay/choosing/prefill_queue.py
@@ -27,10 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedPrompt:
-    """A long prompt that waits to be sent.
-
-    prefill_seconds: on one engine; due_at: when its first event is due, by the local clock.
-    """
+    """prefill_seconds: on one engine; due_at: when its first event is due, by the local clock."""
 
     key: int
     prefill_seconds: float
--- a/pondpin/relay/peers/digest_builder.py
+++ b/pondpin/relay/peers/digest_builder.py
@@ -14,14 +14,14 @@
 if TYPE_CHECKING:
     from pondpin.relay.peers.gossip import Gossip
 
-# Each for the own data centre and for others.
+# Hosts of the own data centre in a digest, and as many of others.
 MAX_DIGEST_HOSTS = 4
-# The latest to leave; the list soon names all.
+# Leaving lives in a digest, rotated if there are more; the list soon shows them too.
 MAX_DIGEST_LEAVING = 32
 
 
 class DigestBuilder:
-    """Builds digests of an instance."""
+    """Builds the digests of an instance."""
 
     def __init__(self, gossip: "Gossip") -> None:
         self._gossip = gossip
@@ -69,7 +69,6 @@
         )
 
     def _peer_hosts(self) -> tuple[list[str], list[str]]:
-        """Hosts of the own and of other data centres; digests spread them to all."""
         local: list[str] = []
         remote: list[str] = []
         for peer in self._gossip.peer_table.by_host.values():
--- a/pondpin/relay/peers/digest_fields.py
+++ b/pondpin/relay/peers/digest_fields.py
@@ -1,4 +1,4 @@
-"""Message order, urgent fields, rounding of ages."""
+"""Order of messages, urgent fields and rounding of ages."""
 
 from dataclasses import dataclass
 
@@ -18,7 +18,7 @@
 
 
 def urgent_fields(digest: Digest) -> tuple[object, ...]:
-    """Fields whose changes are sent at once. Ages always change; limits are broadcast apart."""
+    """Fields whose changes are sent at once; ages always change, limits have their own messages."""
     work = tuple(
         (
             item.life,
--- a/pondpin/relay/peers/digests.py
+++ b/pondpin/relay/peers/digests.py
@@ -39,12 +39,12 @@
 
 
 class LimitDigest(msgspec.Struct, frozen=True, array_like=True):
-    """Limit of a life, -1 once lifted; ages in ms, see LimitWord."""
+    """Limit of a life, -1 once lifted; request_age, answer_age: in ms, see LimitReport."""
 
     life: int
     limit: float
-    asked_age: int
-    heard_age: int
+    request_age: int
+    answer_age: int
 
 
 class Digest(msgspec.Struct, frozen=True, array_like=True):
@@ -144,7 +144,7 @@
         # Lower bound on alive_until of live peers.
         self._alive_until = float("inf")
         self._seen_at_by_data_center: dict[str, float] = {}
-        # Incremented when a peer becomes alive or ceases to be.
+        # Changes of the live peers.
         self.change_count = 0
 
     def apply(self, digest: Digest, now: float) -> bool:
--- a/pondpin/relay/peers/gossip.py
+++ b/pondpin/relay/peers/gossip.py
@@ -77,7 +77,6 @@
     is_stopping: bool = False
 
     def __post_init__(self) -> None:
-        """Set up the parts."""
         self.peer_table = PeerTable(self.boot)
         self._fan_out = FanOut(self.table.data_center, self.rng)
         self._sent_fields: tuple[object, ...] = ()
@@ -107,7 +106,7 @@
 
     @cached_property
     def limits(self) -> "LimitEnforcement":
-        """Enforcement of limits, imported once an upstream names one, as few do."""
+        """Enforcement of limits, imported once an upstream reports one, as few do."""
         from pondpin.relay.peers.limit_enforcement import LimitEnforcement
 
         return LimitEnforcement(self)
@@ -135,7 +134,7 @@
         return self.peer_table.rank(self.instance, self.table.data_center, now)
 
     def turn_of(self, identity: int) -> int:
-        """Position among the live instances in the order for a request."""
+        """How many live instances may try a quarantined request before this one."""
         return compute_trial_rank(identity, self.instance, self._live)
 
     def count_reporting_peers(self) -> int:
@@ -281,7 +280,6 @@
         self.peer_hosts.expire(now)
 
     def _send_digest(self, base: Digest, host: str, peer: PeerRecord | None) -> int:
-        """Send a digest with the receiver's echo; return its bytes."""
         self.sequence += 1
         digest = msgspec.structs.replace(
             base,
@@ -322,9 +320,9 @@
             return
         self._change_count = self.peer_table.change_count
         alive = {peer.instance for peer in alive_peers}
-        heard, lost = tuple(sorted(alive - self._live)), tuple(sorted(self._live - alive))
-        if heard or lost:
-            self.log.write(PeersChanged(heard=heard, lost=lost, alive_peers=len(alive)))
+        found, lost = tuple(sorted(alive - self._live)), tuple(sorted(self._live - alive))
+        if found or lost:
+            self.log.write(PeersChanged(heard=found, lost=lost, alive_peers=len(alive)))
         self._live = alive
 
     def _spawn(self, work: Any) -> None:
--- a/pondpin/relay/peers/hosts.py
+++ b/pondpin/relay/peers/hosts.py
@@ -71,7 +71,8 @@
                 self._all = None
 
     def hosts_to_contact(self, peers: PeerTable, now: float) -> list[str]:
-        """Silent hosts to contact; in a large fleet local ones, else a few of each data centre.
+        """Silent hosts to contact; in a large fleet the local ones, or if there are none, those of
+        data centres with few live peers.
 
         Contacting all took 16 of the 43 digests a second of an idle instance among 195, and after
         2 s only 17 of 38 local peers were known.
--- a/pondpin/relay/peers/limit_enforcement.py
+++ b/pondpin/relay/peers/limit_enforcement.py
@@ -1,4 +1,4 @@
-"""Enforces the limits that upstreams name, by exchanging them and by permits."""
+"""Enforces the limits that upstreams report, by exchanging them and by permits."""
 
 from typing import TYPE_CHECKING
 
@@ -13,7 +13,7 @@
 
 
 class LimitEnforcement:
-    """Connects limit exchange and permits to the datagrams and peers of an instance."""
+    """Limits and permits of an instance."""
 
     def __init__(self, gossip: "Gossip") -> None:
         self._gossip = gossip
--- a/pondpin/relay/peers/limit_messages.py
+++ b/pondpin/relay/peers/limit_messages.py
@@ -1,4 +1,4 @@
-"""Messages with limits that upstreams named, and the selection of limits for digests."""
+"""Messages with limits that upstreams report, and the selection of limits for digests."""
 
 from collections.abc import Iterable
 
@@ -8,7 +8,7 @@
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.upstream_limits import LimitReport, limit_number
 
-# First number of a message, distinct from the formats of digests and of the other messages.
+# First number of a message, distinct from other formats.
 LIMITS_FORMAT = 1003
 # A limit takes about 25 bytes of a digest. With more limits than this, digests rotate through them
 # every ROTATION_SECONDS, so that an instance that starts receives 32 limits in 2 s.
@@ -20,7 +20,7 @@
 
 
 class LimitsMessage(msgspec.Struct, frozen=True, array_like=True):
-    """Limits that answers to the sender have just named."""
+    """Limits that answers to the sender have just reported."""
 
     format: int
     instance: str
@@ -33,7 +33,7 @@
 
 
 def encode_limits(message: LimitsMessage) -> bytes:
-    """Encode a message as a datagram."""
+    """Encode a message."""
     return _ENCODER.encode(message)
 
 
@@ -50,33 +50,33 @@
     table: UpstreamTable, lives: Iterable[int], now: float
 ) -> tuple[LimitDigest, ...]:
     """The digests of the limits of some lives, without lives that never had one."""
-    limit_words = [(life, table.standings.get_or_create(life).limit) for life in lives]
+    limit_reports = [(life, table.standings.get_or_create(life).limit) for life in lives]
     return tuple(
         LimitDigest(
             life,
-            limit_number(limit_word),
-            round((now - limit_word.request_sent_at) * MILLISECONDS),
-            round((now - limit_word.received_at) * MILLISECONDS),
+            limit_number(limit_report),
+            round((now - limit_report.request_sent_at) * MILLISECONDS),
+            round((now - limit_report.received_at) * MILLISECONDS),
         )
-        for life, limit_word in limit_words
-        if limit_word is not None
+        for life, limit_report in limit_reports
+        if limit_report is not None
     )
 
 
-def to_limit_word(digest: LimitDigest, source: str, now: float) -> LimitReport | None:
+def to_limit_report(digest: LimitDigest, source: str, now: float) -> LimitReport | None:
     """Convert a digest that was received just now; None for an invalid one."""
-    if not (digest.limit >= 0 or digest.limit == -1) or digest.asked_age < digest.heard_age:
+    if not (digest.limit >= 0 or digest.limit == -1) or digest.request_age < digest.answer_age:
         return None
     return LimitReport(
         None if digest.limit < 0 else digest.limit,
-        now - digest.asked_age / MILLISECONDS,
-        now - digest.heard_age / MILLISECONDS,
+        now - digest.request_age / MILLISECONDS,
+        now - digest.answer_age / MILLISECONDS,
         source,
     )
 
 
 def lives_to_send(table: UpstreamTable, now: float) -> list[int]:
-    """Listed lives whose limits go into the next digest; many lives take turns."""
+    """Listed lives whose limits go into the next digest; many lives are rotated."""
     lives = [
         state.life
         for state in table.by_id.values()
--- a/pondpin/relay/peers/limit_sync.py
+++ b/pondpin/relay/peers/limit_sync.py
@@ -1,8 +1,8 @@
-"""Exchanges the limits that upstreams named among instances.
+"""Exchanges the limits that upstreams report among instances.
 
 A new limit, a change and the lifting of a limit are broadcast at once, in one datagram to each
 instance. A limit applies to all instances together, so an instance that has no answer with the
-limit yet must not send a request in ignorance of it. Digests repeat limits for instances that
+limit yet must not send a request without knowing it. Digests repeat limits for instances that
 missed the datagram or started later.
 """
 
@@ -18,7 +18,7 @@
     decode_limits,
     encode_limits,
     limit_digests,
-    to_limit_word,
+    to_limit_report,
 )
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.upstream_limits import LimitReport, apply_limit, limit_number
@@ -56,20 +56,20 @@
     def apply(self, limits: Iterable[LimitDigest], instance: str, now: float) -> None:
         """Apply limits from an instance where they supersede the known ones."""
         for digest in limits:
-            limit_word = to_limit_word(digest, f"peer {instance}", now)
-            if limit_word is not None:
-                self._apply(digest.life, limit_word, now)
+            limit_report = to_limit_report(digest, f"peer {instance}", now)
+            if limit_report is not None:
+                self._apply(digest.life, limit_report, now)
 
-    def _apply(self, life: int, limit_word: LimitReport, now: float) -> None:
+    def _apply(self, life: int, limit_report: LimitReport, now: float) -> None:
         standing = self.table.standings.get_or_create(life)
         before = limit_number(standing.limit)
-        if apply_limit(self.table.standings, life, limit_word, now):
+        if apply_limit(self.table.standings, life, limit_report, now):
             self.log.write(
                 UpstreamLimit(
                     upstream=self.table.label_of(life),
                     life=f"{life:x}",
                     limit=limit_number(standing.limit),
                     before=before,
-                    source=limit_word.source,
+                    source=limit_report.source,
                 )
             )
--- a/pondpin/relay/peers/permit_broker.py
+++ b/pondpin/relay/peers/permit_broker.py
@@ -56,7 +56,7 @@
 
 
 class PermitUse(msgspec.Struct, frozen=True, array_like=True):
-    """A request without a permit was sent to a life, or else a permit of it was not used."""
+    """spent: a request without a permit was sent to life; else a permit of it was not used."""
 
     life: int
     spent: bool
@@ -94,7 +94,6 @@
     rng: random.Random
 
     def __post_init__(self) -> None:
-        """Set up pending requests and the state of owners."""
         # Request ids start at boot, so that replies to an earlier process match no request.
         self._last_request_id = self.boot
         self._pending: dict[int, asyncio.Future[PermitReply]] = {}
@@ -132,8 +131,9 @@
         return NoPermit(self.retry_after(states, service))
 
     def retry_after(self, states: Sequence[UpstreamState], service: str) -> float:
-        """Seconds until the earliest known permit of some upstreams, or until an owner that gave no
-        reply is asked again; 0 where neither is known.
+        """Seconds until the earliest known permit, or until a silent owner is asked again.
+
+        0 if another owner can be asked now, MAX_RETRY_AFTER_SECONDS if no instance issues permits.
         """
         now = self.clock()
         times = [
@@ -172,7 +172,6 @@
             reply.cancel()
 
     def _owner_hosts(self, states: Sequence[UpstreamState]) -> list[str]:
-        """Hosts of the other instances that own some upstreams."""
         return sorted({self.issuer.owner(state).host for state in states} - {"", self.host})
 
     def _hosts_to_ask(
@@ -192,7 +191,7 @@
     async def _request(
         self, host: str, service: str, tried: Collection[int], max_wait: float
     ) -> Permit | str:
-        """A permit from an owner; else the host of another possible owner, "" for none known."""
+        """A permit, else the host of another possible owner, "" for none known."""
         self._last_request_id += 1
         request_id = self._last_request_id
         pending: asyncio.Future[PermitReply] = asyncio.get_running_loop().create_future()
--- a/pondpin/relay/peers/permit_issuer.py
+++ b/pondpin/relay/peers/permit_issuer.py
@@ -76,7 +76,7 @@
     """Issues permits of the lives that this instance owns.
 
     membership returns the view of a data centre; is_settled: whether peers have had the time to
-    send digests, with the limits that upstreams named.
+    send digests, with the limits that upstreams report.
     """
 
     instance: str
@@ -88,13 +88,12 @@
     pace_by_life: dict[int, Pacer] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Set up the tables by life."""
         self._owner_by_life: dict[int, tuple[float, PermitOwner]] = {}
         self._limit_by_life: dict[int, float] = {}
         self._checked_at_by_life: dict[int, float] = {}
 
     def owner(self, state: UpstreamState) -> PermitOwner:
-        """The owner of the permits of an upstream's life."""
+        """The owner of an upstream's permits."""
         now = self.clock()
         cached = self._owner_by_life.get(state.life)
         if cached is not None and 0 <= now - cached[0] < OWNER_CACHE_SECONDS:
@@ -120,13 +119,13 @@
         )
 
     def is_owner(self, state: UpstreamState) -> bool:
-        """Whether this instance issues permits of an upstream's life."""
+        """Whether this instance owns an upstream's permits."""
         return self.owner(state).instance == self.instance
 
     def rate(self, state: UpstreamState) -> float:
-        """Permits a second that the owner of an upstream's life may issue."""
-        limit_word = state.standing.limit
-        limit = 0.0 if limit_word is None or limit_word.limit is None else limit_word.limit
+        """Permits a second that an upstream's owner may issue."""
+        limit_report = state.standing.limit
+        limit = 0.0 if limit_report is None or limit_report.limit is None else limit_report.limit
         return limit * self.owner(state).share
 
     def limited_upstreams(self, service: str, tried: Collection[int]) -> list[UpstreamState]:
@@ -193,25 +192,23 @@
             self._pace(state).release(rate)
 
     def due_for_recheck(self) -> list[UpstreamState]:
-        """Upstreams with a limit of 0 to ask now whether they still have it: they get no requests
-        whose answers would show it.
-        """
+        """Upstreams to ask whether their limit is still 0, as no request's answer can show it."""
         now = self.clock()
         due = [state for state in self.table.by_id.values() if self._is_recheck_due(state, now)]
         self._checked_at_by_life |= {state.life: now for state in due}
         return due
 
     def _is_recheck_due(self, state: UpstreamState, now: float) -> bool:
-        limit_word = state.standing.limit
+        limit_report = state.standing.limit
         if (
-            limit_word is None
-            or limit_word.limit != 0
+            limit_report is None
+            or limit_report.limit != 0
             or state.bar(now)
             or not self.is_owner(state)
         ):
             return False
-        checked_at = self._checked_at_by_life.get(state.life, limit_word.received_at)
-        return now - max(limit_word.received_at, checked_at) >= ZERO_LIMIT_RECHECK_SECONDS
+        checked_at = self._checked_at_by_life.get(state.life, limit_report.received_at)
+        return now - max(limit_report.received_at, checked_at) >= ZERO_LIMIT_RECHECK_SECONDS
 
     def expire(self) -> None:
         """Remove the state of lives that are no longer limited."""
--- a/pondpin/relay/peers/quarantine_sync.py
+++ b/pondpin/relay/peers/quarantine_sync.py
@@ -26,7 +26,7 @@
 
 
 class QuarantineMessage(msgspec.Struct, frozen=True, array_like=True):
-    """Ends, and the running suspects of the sender with their lives; sequence is per boot."""
+    """Ends; running: the sender's suspected requests and their lives. sequence is per boot."""
 
     format: int
     instance: str
@@ -51,7 +51,7 @@
 
 @dataclass
 class QuarantineSync:
-    """Sends ends and running suspects, and applies those of peers.
+    """Sends ends and running suspected requests, and applies those of peers.
 
     write sends a datagram to a host; on_received gets the ends of a peer.
     """
@@ -70,13 +70,12 @@
     is_synced: bool = False
 
     def __post_init__(self) -> None:
-        """Set up the tables."""
         self._last_by_peer: dict[str, LastMessage] = {}
         # By host and boot.
         self._synced_at_by_process: dict[tuple[str, int], float] = {}
 
     def broadcast(self, ends: Sequence[NamedEnd] = ()) -> None:
-        """Send ends and running suspects to all."""
+        """Send ends and running suspected requests to all."""
         for data in self._encode_messages(ends):
             for host in self.hosts():
                 self._send(data, host)
--- a/pondpin/relay/published/configuration_cache.py
+++ b/pondpin/relay/published/configuration_cache.py
@@ -12,7 +12,7 @@
 
 
 class ConfigurationCache:
-    """Decodes each content once and caches its version."""
+    """Caches the version of each content."""
 
     def __init__(
         self, decode: Callable[[bytes], RelayConfiguration], on_invalid: Callable[[str, str], None]
--- a/pondpin/relay/published/document_fetch.py
+++ b/pondpin/relay/published/document_fetch.py
@@ -85,7 +85,6 @@
     rng: random.Random
 
     def __post_init__(self) -> None:
-        """Set up the transfers."""
         self._transfer_by_kind = {kind: Transfer() for kind in DocumentKind}
 
     def receive_offer(self, host: str, offer: Offer, is_remote: bool, now: float) -> None:
@@ -113,7 +112,6 @@
                 transfer.task.cancel()
 
     async def _run(self, kind: DocumentKind, transfer: Transfer) -> None:
-        """Fetch until no peer has a newer document."""
         try:
             while True:
                 now = self.clock()
@@ -129,7 +127,6 @@
             transfer.task = None
 
     def _drop_outdated(self, transfer: Transfer) -> None:
-        """Drop peers whose documents are no longer newer."""
         transfer.peer_by_host = {
             peer.host: peer for peer in transfer.peer_by_host.values() if self._is_newer(peer.offer)
         }
@@ -249,7 +246,6 @@
     def _record_failure(
         self, transfer: Transfer, peer: PeerOffer, reason: str, started_at: float
     ) -> None:
-        """Log a failure and drop the peer until its next offer."""
         transfer.peer_by_host.pop(peer.host, None)
         after_ms = int((self.clock() - started_at) * MILLISECONDS)
         self.log.write(FetchFailed(peer=peer.host, reason=reason, after_ms=after_ms))
--- a/pondpin/relay/published/document_server.py
+++ b/pondpin/relay/published/document_server.py
@@ -1,4 +1,4 @@
-"""Serves published documents to peers, piece by piece and to a few at a time."""
+"""Serves published documents to peers in pieces, to a few peers at a time."""
 
 from pondpin.clocks import Clock
 from pondpin.codes import Code
@@ -102,7 +102,6 @@
         )
 
     def _find(self, request: FetchPieceRequest) -> PackedDocument | None:
-        """Return the requested document, None if the requester has it."""
         publication = self._publication
         if request.kind == DocumentKind.CONFIGURATION:
             # A transfer is completed even if a newer version is in force by now; otherwise a slow
--- a/pondpin/relay/published/pieces.py
+++ b/pondpin/relay/published/pieces.py
@@ -39,11 +39,12 @@
 
 
 class FetchPieceReply(msgspec.Struct, frozen=True, array_like=True):
-    """A piece of a packed document; packed_id is 0 if the requester has the newest document.
+    """A piece of a packed document; packed_id is 0 if none is sent.
 
     version is the document's revision or tag, size its total bytes. age_ms is the time since the
     version was last proved to be the newest, -1 if unknown. busy means that too many others are
-    being served and no data was sent. epoch is the source's when the list was read.
+    being served; otherwise a reply without a piece means that the requester has the newest
+    document. epoch is the source's when the list was read.
     """
 
     version: int = 0
@@ -60,7 +61,7 @@
 
 
 def encode_message(message: FetchPieceRequest | FetchPieceReply) -> bytes:
-    """Encode a message as the body of a request or a reply."""
+    """Encode a message."""
     return msgspec.msgpack.encode(message)
 
 
@@ -75,7 +76,7 @@
     async def fetch_piece(
         self, address: str, request: FetchPieceRequest, timeout: float
     ) -> FetchPieceReply:
-        """Fetch a piece of a document from a peer."""
+        """Fetch a piece."""
         ...
 
 
--- a/pondpin/relay/published/publication.py
+++ b/pondpin/relay/published/publication.py
@@ -88,7 +88,7 @@
         self._on_rejected = on_rejected
         self._on_report = on_report
         self._prefer_peers_until = prefer_peers_until
-        # The highest epoch seen; 0 while the source names none.
+        # The highest seen; 0 while the source names none.
         self.epoch = 0
         self.configuration: RelayConfiguration | None = None
         self.in_force = NOTHING_PUBLISHED
@@ -114,7 +114,6 @@
         # Epoch and revision of the last entry processed.
         self._position_by_key: dict[str, tuple[int, int]] = {}
         self._missing: set[str] = set()
-        # Loaded with the first removed entry.
         self._removed: RemovedEntries | None = None
         self._withdrawn_ids: list[str] = []
         # The start of the latest life of each key.
@@ -137,7 +136,7 @@
             self._on_report(change)
 
     def receive_peer_version(self, version: PublishedVersion, now: float) -> bool:
-        """Record a peer's version; returns True for the first announcement of a newer one."""
+        """Record a peer's version; True for the first announcement of a newer one."""
         self.peers_seen = True
         return self.accepts(version) and self._announced.record(version, now)
 
@@ -192,7 +191,6 @@
         return is_early or self._announced.has_newer_than(version, now)
 
     def _ignore(self, item: PublishedItem, version: PublishedVersion) -> None:
-        """Keep the version in force; the source's is no newer."""
         if version.content == self.in_force.content:
             self._update_position(item, version)
         elif version != self._ignored:
@@ -217,7 +215,6 @@
         self._add_services(configuration)
 
     def _add_services(self, configuration: RelayConfiguration) -> None:
-        """Add newly named services, whose listed upstreams become usable."""
         before = len(self._named_services)
         self._named_services |= configuration.services_by_name.keys()
         if len(self._named_services) > before and self.list_at is not None:
@@ -226,7 +223,7 @@
     def apply_list(
         self, items: Sequence[PublishedItem], at: float, now: float, epoch: int = 0
     ) -> None:
-        """Apply a list read in an epoch at a time of this process's clock."""
+        """Apply a list; at: when its read was sent, by this process's clock."""
         if self.list_at is not None and self._is_outdated(epoch, at):
             return
         self._extend_grace(epoch, at, now)
--- a/pondpin/relay/published/reader.py
+++ b/pondpin/relay/published/reader.py
@@ -89,7 +89,7 @@
 
 
 class ReaderController(Controller):
-    """Renews the proofs."""
+    """Renews the proofs when they are due."""
 
     period = CHECK_SECONDS
 
@@ -145,7 +145,7 @@
         self._failures = 0
 
     async def _wait_until_due(self) -> bool:
-        """Wait if a read is due before the next step; returns whether to read now."""
+        """Wait if a read is due before the next step; True to read now."""
         wait = self._seconds_until_due(self._clock())
         if 0 < wait < self.period:
             await asyncio.sleep(wait)
@@ -178,7 +178,6 @@
             self._on_update()
 
     async def _read_one_epoch(self) -> tuple[ListRead, PublishedItem | None]:
-        """Read the list and prove the configuration; retry if the epoch changes."""
         for _ in range(MAX_EPOCH_READS):
             try:
                 return await self._read_parts()
@@ -225,7 +224,7 @@
         return read.item
 
     def _known_in(self, epoch: int) -> KnownConfiguration | None:
-        """The known configuration in an epoch, from this instance's reads or a peer."""
+        """The configuration known from this instance's reads or a peer."""
         in_force = self._publication.in_force
         known = self._known
         if known is not None and known.epoch != epoch:
--- a/pondpin/relay/published/source_monitor.py
+++ b/pondpin/relay/published/source_monitor.py
@@ -17,14 +17,13 @@
     """Tracks unknown headers and the source's revision."""
 
     def __init__(self, log: EventLog, on_epoch: Callable[[int], None] = lambda epoch: None) -> None:
-        """on_epoch receives the epoch of each answer."""
         self._log = log
         self._on_epoch = on_epoch
         self._logged_names: set[str] = set()
         self._last_revision = 0
 
     def receive_head(self, head: SourceHead) -> None:
-        """Report the epoch; log unknown headers and odd epochs once."""
+        """Report the epoch; log unknown headers and invalid epochs once."""
         self._on_epoch(head.epoch)
         if head.odd_epoch:
             self._log_once(EPOCH, head.odd_epoch)
--- a/pondpin/relay/upstreams/forecast.py
+++ b/pondpin/relay/upstreams/forecast.py
@@ -49,8 +49,8 @@
 class EngineLoad:
     """Estimated load of an engine; prefill_seconds is the unfinished prefill work.
 
-    Parts for other engines, the newest first, run before all of pending. long_prefill_seconds:
-    until the last long prefill ends, 0 without any.
+    Parts that it prefills for other engines run before all of pending, the newest first.
+    long_prefill_seconds: until the last long prefill ends, 0 without any.
     """
 
     in_flight: int
--- a/pondpin/relay/upstreams/limit_handler.py
+++ b/pondpin/relay/upstreams/limit_handler.py
@@ -1,4 +1,4 @@
-"""Handling of the limits that upstreams state, and logging of their unknown headers."""
+"""Handling of the limits that upstreams report, and logging of their unknown headers."""
 
 from collections.abc import Callable
 
@@ -33,14 +33,14 @@
         self._logged: set[tuple[int, str]] = set()
 
     def handle_head(self, life: int, request: SentRequest, head: ResponseHead, now: float) -> None:
-        """Apply the limit that an answer states, and log its unknown headers."""
+        """Apply an answer's limit, and log its unknown headers."""
         self._log_unknown(life, head)
         self._apply_limit(life, request, head, now)
 
     def _apply_limit(self, life: int, request: SentRequest, head: ResponseHead, now: float) -> None:
-        """Apply a stated limit, or lift the known one if an answer states none any more.
+        """Apply a reported limit, or lift the known one if an answer reports none any more.
 
-        Only answers to requests lift a limit: whether other answers ever state it is unknown. A
+        Only answers to requests lift a limit: whether other answers ever report it is unknown. A
         limit of 0 lets no request through, so an answer to a liveness check lifts it too, and the
         next request shows whether that was right.
         """
@@ -59,7 +59,6 @@
             self._broadcast(life, now)
 
     def _may_lift(self, life: int, request: SentRequest, notice: Notice) -> bool:
-        """Whether an answer without a limit lifts the known limit."""
         known = self._table.standings.by_life.get(life)
         if notice.invalid_limit or known is None or known.limit is None:
             return False
@@ -94,7 +93,6 @@
                 )
 
     def _should_log(self, life: int, name: str) -> bool:
-        """Whether to log an unknown header or invalid value: once, up to MAX_UNKNOWN_HEADERS."""
         key = (life, name[:MAX_LOGGED_CHARACTERS])
         if key in self._logged or len(self._logged) >= MAX_UNKNOWN_HEADERS:
             return False
--- a/pondpin/relay/upstreams/long_prefills.py
+++ b/pondpin/relay/upstreams/long_prefills.py
@@ -20,7 +20,7 @@
     Work,
 )
 
-# The first number of a message, where digests have their own format number.
+# First number of a message, distinct from other formats.
 LONG_PREFILLS_FORMAT = 1001
 
 
@@ -51,7 +51,7 @@
 
 
 def encode_long_prefills(message: LongPrefills) -> bytes:
-    """Encode a message as a datagram."""
+    """Encode a message."""
     return _ENCODER.encode(message)
 
 
--- a/pondpin/relay/upstreams/notice_handler.py
+++ b/pondpin/relay/upstreams/notice_handler.py
@@ -33,7 +33,7 @@
     sent_at: float
 
 
-# Is called with the head of each answer.
+# Called with the head of each answer.
 HeadHandler = Callable[[SentRequest, ResponseHead], None]
 
 
@@ -67,7 +67,7 @@
         self._limit_handler: LimitHandler | None = None
 
     def handle_head(self, request: SentRequest, head: ResponseHead) -> None:
-        """Handle the head of an answer, see HeadHandler.
+        """Handle the head of an answer.
 
         A head that names an upstream counts for that id, listed or not, from whatever address.
         """
@@ -86,13 +86,12 @@
             self.record_leaving(life, ANSWER_SOURCE, now)
 
     def _concerns_limits(self, head: ResponseHead) -> bool:
-        """Whether a head states or may lift a limit, or has unknown headers."""
         notice = head.notice
         names_limit = notice.limit is not None or bool(notice.invalid_limit)
         return names_limit or bool(head.unknown_headers) or self._table.standings.any_limit_reported
 
     def _get_limit_handler(self) -> "LimitHandler":
-        """Load the handler on first use, as few upstreams have limits."""
+        """Loaded on first use, as few upstreams have limits."""
         if self._limit_handler is None:
             from pondpin.relay.upstreams.limit_handler import LimitHandler
 
--- a/pondpin/relay/upstreams/probe.py
+++ b/pondpin/relay/upstreams/probe.py
@@ -31,7 +31,7 @@
         clock: Clock,
         recheck_due: Callable[[], Sequence[UpstreamState]] = lambda: (),
     ) -> None:
-        """recheck_due: upstreams with a limit of 0 that are due for a recheck."""
+        """recheck_due: upstreams whose limit of 0 is due for a recheck."""
         super().__init__()
         self._table = table
         self._publication = publication
@@ -40,7 +40,7 @@
         self._recheck_due = recheck_due
 
     async def step(self) -> None:
-        """Probe all upstreams that are due, concurrently."""
+        """Probe the upstreams that are due."""
         now = self._clock()
         configuration = self._publication.configuration
         due = [state for state in self._table.by_id.values() if is_probe_due(state, now)]
@@ -51,5 +51,5 @@
 
 def is_probe_due(state: UpstreamState, now: float) -> bool:
     """Whether an ejected upstream may be probed."""
-    is_barred = state.bar(now) in (BlockReason.LEAVING, BlockReason.RESTING)
-    return state.needs_probe and not is_barred and not state.health.is_ejected(now)
+    is_blocked = state.bar(now) in (BlockReason.LEAVING, BlockReason.RESTING)
+    return state.needs_probe and not is_blocked and not state.health.is_ejected(now)
--- a/pondpin/relay/upstreams/reports.py
+++ b/pondpin/relay/upstreams/reports.py
@@ -42,8 +42,7 @@
     async def query_status(self, state: UpstreamState) -> bool:
         """Whether an engine answers, or did within REPORT_CACHE_SECONDS.
 
-        An engine that rests is not queried: it has answered and wants no calls until its rest is
-        over.
+        One that rests is not queried: it has answered and wants no calls until its rest is over.
         """
         if state.bar(self._clock()) is BlockReason.RESTING:
             return True
--- a/pondpin/relay/upstreams/state.py
+++ b/pondpin/relay/upstreams/state.py
@@ -94,7 +94,7 @@
 
     @property
     def life(self) -> int:
-        """The number of this life on all instances."""
+        """The number of this life, the same on all instances."""
         return self.listed.life
 
     @property
@@ -104,7 +104,7 @@
 
     @property
     def is_limited(self) -> bool:
-        """Whether it set a limit for all instances, so that requests need permits."""
+        """Whether it reported a limit for all instances, so that requests need permits."""
         stated = self.standing.limit
         return stated is not None and stated.limit is not None
 
@@ -115,7 +115,7 @@
         return -1.0 if stated is None or stated.limit is None else stated.limit
 
     def bar(self, now: float) -> BlockReason:
-        """Why it must not get new requests: it leaves, rests or returns from a rest."""
+        """Why it must not get new requests: it is leaving, rests, or starts slowly after a rest."""
         return self.standing.block_reason(
             now, self.own_in_flight if self.standing.rest is not None else 0
         )
--- a/pondpin/relay/upstreams/table.py
+++ b/pondpin/relay/upstreams/table.py
@@ -201,7 +201,7 @@
         Falls back to unhealthy upstreams, but never to one that is leaving, rests, or has a limit
         and no permit.
         """
-        # is_blank is tested first, as each plan tests up to 930 upstreams.
+        # is_empty is tested first, as each plan tests up to 930 upstreams.
         present = [
             item
             for item in self.of_service(service)
--- a/pondpin/relay/upstreams/work.py
+++ b/pondpin/relay/upstreams/work.py
@@ -6,7 +6,7 @@
 import msgspec
 
 # A prefill of this duration keeps other long ones off its engine: queueing behind a shorter one
-# costs less than waiting for its end.
+# costs less than waiting for its end. Overridden below: 0.3 s applies everywhere.
 LONG_PREFILL_SECONDS = 0.08
 # An overdue prefill may end at any time, until this multiple of its duration plus the slack; then
 # its request is probably gone.
