--- a/pondpin/relay/choosing/planner.py
+++ b/pondpin/relay/choosing/planner.py
@@ -180,7 +180,7 @@
         now: float,
     ) -> Plan | None:
         if self._policy.placement is not PlacementPolicy.PREDICTED:
-            # Imported on demand: only measurements use baselines.
+            # Only measurements use baselines.
             from pondpin.relay.choosing.baselines import plan_baseline
 
             tokens = call.metadata.prompt_tokens
--- a/pondpin/relay/peers/gossip.py
+++ b/pondpin/relay/peers/gossip.py
@@ -199,7 +199,6 @@
             self._reply(digest, now)
 
     def _reply(self, request: Digest, now: float) -> None:
-        """Reply to a peer of another data centre, so it can date the contents."""
         base = msgspec.structs.replace(
             self.build_digest(now),
             work=(),
@@ -303,7 +302,7 @@
             self.log.write(FetchFailed(peer=host, reason=f"datagram: {error}"))
 
     def build_digest(self, now: float) -> Digest:
-        """Build a digest without sequence and echo."""
+        """See DigestBuilder."""
         return self._builder.build(now)
 
     def update_silent_data_centers(self, now: float) -> None:
--- a/pondpin/relay/published/publication.py
+++ b/pondpin/relay/published/publication.py
@@ -154,7 +154,7 @@
         return len(self._listed_by_key)
 
     def behind_seconds(self, now: float) -> float:
-        """Seconds since the first announcement of a newer version still announced, or 0."""
+        """See AnnouncedVersions; 0 if none is newer."""
         return self._announced.behind_seconds(now)
 
     def apply_configuration(
@@ -303,7 +303,6 @@
         }
 
     def _is_older(self, key: str, entry: ListedUpstream) -> bool:
-        """Whether the same life wrote this entry before the one in use."""
         used = self._listed_by_key.get(key)
         return used is not None and used.born == entry.born and entry.sequence < used.sequence
 
--- a/pondpin/relay/published/reader.py
+++ b/pondpin/relay/published/reader.py
@@ -145,7 +145,6 @@
         self._failures = 0
 
     async def _wait_until_due(self) -> bool:
-        """Wait if a read is due before the next step; True to read now."""
         wait = self._seconds_until_due(self._clock())
         if 0 < wait < self.period:
             await asyncio.sleep(wait)
--- a/pondpin/relay/upstreams/forecast.py
+++ b/pondpin/relay/upstreams/forecast.py
@@ -129,5 +129,5 @@
 
 
 def first_event_miss_probability(seconds: float, target: float) -> float:
-    """Probability that a first event forecast after seconds misses its target."""
+    """As miss_probability, for a first event."""
     return miss_probability(seconds, target, FIRST_HIT_SHARE, FIRST_MISS_SHARE)
--- a/pondpin/relay/upstreams/notice_handler.py
+++ b/pondpin/relay/upstreams/notice_handler.py
@@ -54,9 +54,7 @@
         clock: Clock,
         broadcast_limit: Callable[[int, float], None] = lambda life, now: None,
     ) -> None:
-        """list_at: when the list was last read; send_digest: sends peers the leaving lives;
-        broadcast_limit: sends all peers the limit of a life.
-        """
+        """list_at: when the list was last read."""
         self._broadcast_limit = broadcast_limit
         self._table = table
         self._list_at = list_at
--- a/pondpin/relay/upstreams/table.py
+++ b/pondpin/relay/upstreams/table.py
@@ -224,7 +224,6 @@
         return state.listed.data_center in self._partitioned_data_centers(now)
 
     def _partitioned_data_centers(self, now: float) -> set[str]:
-        """Silent data centres without a recent answer of an upstream."""
         if not self.silent_data_centers:
             return set()
         reachable = {
