--- a/pondpin/relay/upstreams/forecast.py
+++ b/pondpin/relay/upstreams/forecast.py
@@ -49,8 +49,8 @@
 class EngineLoad:
     """Estimated load of an engine; prefill_seconds is the unfinished prefill work.
 
-    Parts for other engines, the newest first, run before all of pending. long_prefill_seconds:
-    until the last long prefill ends, 0 without any.
+    Parts that it prefills for other engines run before all of pending, the newest first.
+    long_prefill_seconds: until the last long prefill ends, 0 without any.
     """
 
     in_flight: int
@@ -129,5 +129,5 @@
 
 
 def first_event_miss_probability(seconds: float, target: float) -> float:
-    """Probability that a first event forecast after seconds misses its target."""
+    """As miss_probability, for a first event."""
     return miss_probability(seconds, target, FIRST_HIT_SHARE, FIRST_MISS_SHARE)
--- a/pondpin/relay/upstreams/table.py
+++ b/pondpin/relay/upstreams/table.py
@@ -201,7 +201,7 @@
         Falls back to unhealthy upstreams, but never to one that is leaving, rests, or has a limit
         and no permit.
         """
-        # is_blank is tested first, as each plan tests up to 930 upstreams.
+        # is_empty is tested first, as each plan tests up to 930 upstreams.
         present = [
             item
             for item in self.of_service(service)
@@ -224,7 +224,6 @@
         return state.listed.data_center in self._partitioned_data_centers(now)
 
     def _partitioned_data_centers(self, now: float) -> set[str]:
-        """Silent data centres without a recent answer of an upstream."""
         if not self.silent_data_centers:
             return set()
         reachable = {
