--- a/pondpin/relay/attempts/admission.py
+++ b/pondpin/relay/attempts/admission.py
@@ -13,13 +13,12 @@
 
 # An unknown route or key may be new: refusals are final only if the last proof is younger.
 FRESH_PROOF_SECONDS = 1.9
-# Callers retry at once, as another instance may have a newer configuration.
+# Short, as another instance may have a newer configuration.
 RETRY_SECONDS = 0.3
 # If peers are seen and none has a proof, the source is down for all instances: retries are spread
 # over 0.5 to 1.5 times this.
 OUTAGE_RETRY_SECONDS = 1.4
 HASH_RANGE = 1 << 32
-# Limit for requests without a deadline.
 DEFAULT_DEADLINE_SECONDS = 60.0
 
 
@@ -28,8 +27,7 @@
     """The state by which requests are admitted.
 
     max_proof_age: seconds after the last proof for which keys are accepted; None if keys need no
-    proof. has_live_peers: whether any peer was seen lately. behind_seconds: for how long a peer has
-    had a newer configuration.
+    proof. behind_seconds: for how long a peer has had a newer configuration.
     """
 
     configuration: RelayConfiguration | None
@@ -44,7 +42,7 @@
         return self.proof.age(now) if self.proof is not None else float("inf")
 
     def accepts_keys(self, now: float) -> bool:
-        """Whether keys of the configuration in force may be served."""
+        """Whether API keys are accepted."""
         return self.max_proof_age is None or self.proof_age(now) < self.max_proof_age
 
     def retry_seconds(self, request: str) -> float:
--- a/pondpin/relay/attempts/attempt.py
+++ b/pondpin/relay/attempts/attempt.py
@@ -17,7 +17,7 @@
 OK = 200
 # Silence may take this share of the caller's timeout; a retry needs the rest.
 MAX_SILENCE_SHARE = 0.85
-# Interval of checks on a silent stream, and the stall timeout at a partitioned upstream.
+# Interval of checks during silence, and the stall timeout at a partitioned upstream.
 POLL_SECONDS = 0.25
 PARTITION_SECONDS = 0.5
 FIRST_FAILURE = 300
@@ -160,7 +160,7 @@
         observer: AttemptObserver,
         began: float,
     ) -> StreamedResponse | None:
-        """Send and wait for the head; None after the stall timeout or the deadline."""
+        """Send and wait for the head; None if it stalled or the deadline passed."""
         # A call that must not be repeated gets a new connection: if that fails, nothing was sent.
         new_connection = not call.route.idempotent
         opening = asyncio.ensure_future(
@@ -210,7 +210,6 @@
     async def _is_unresponsive(
         self, timeouts: StallTimeouts, observer: AttemptObserver, since: float
     ) -> bool:
-        """Whether a silent upstream fails a status query, and a retry is possible."""
         if timeouts.query_seconds is None or self._clock() - since < timeouts.query_seconds:
             return False
         return not await observer.query_status() and observer.may_retry()
@@ -218,10 +217,9 @@
     def _stall_time_left(
         self, call: RelayCall, limit: float | None, since: float, observer: AttemptObserver
     ) -> float:
-        """Seconds until an attempt counts as stalled.
+        """Seconds until an attempt counts as stalled, or to the deadline if it can't be retried.
 
-        Silence ends it only if a retry is possible at that moment: the key may have been revoked,
-        or the retry budget spent, since the request was sent.
+        Since the send, the key may have been revoked or the retry budget spent.
         """
         if limit is None:
             return self._time_left(call, None, since)
@@ -238,7 +236,6 @@
         return min(left, max(0.0, since + timeout - self._clock()))
 
     def _check_head(self, call: RelayCall, head: ResponseHead) -> str:
-        """Why the response can't belong to the request; empty if it does."""
         if head.attempt_id and head.attempt_id != call.id:
             return f"an answer to {head.attempt_id}"
         if head.status < FIRST_FAILURE and not head.attempt_id:
--- a/pondpin/relay/attempts/attempt_ends.py
+++ b/pondpin/relay/attempts/attempt_ends.py
@@ -9,7 +9,7 @@
 from pondpin.relay.upstreams.state import UpstreamState
 
 FIRST_SERVER_ERROR = 500
-# Retry delay of a request for which there was no upstream.
+# Retry delay when no upstream takes a request.
 RETRY_SECONDS = 0.4
 
 
--- a/pondpin/relay/attempts/crash_guard.py
+++ b/pondpin/relay/attempts/crash_guard.py
@@ -36,7 +36,7 @@
     quarantine_sync: QuarantineSync
     tracker: RunTracker
     table: UpstreamTable
-    turn: TrialRank
+    trial_rank: TrialRank
     list_at: Callable[[], float | None]
     policy: RelayPolicy
     metrics: Metrics
@@ -51,10 +51,7 @@
         self._started_at = self.clock()
 
     async def admit(self, call: RelayCall, progress: Progress) -> None:
-        """Admit a request to placement, or raise PondpinError.
-
-        Sets for placement whether the request is suspected, and which releases must not run it.
-        """
+        """Admit a request to placement and set whether it is suspected, or raise PondpinError."""
         while not self._is_synced():
             await asyncio.sleep(POLL_SECONDS)
         if self.has_ends:
@@ -105,7 +102,7 @@
         self.quarantine_sync.broadcast()
 
     def abandon(self, call: RelayCall, progress: Progress, run: Run) -> None:
-        """End a run whose caller left, or whose attempt failed here."""
+        """End a run whose caller disconnected, or whose attempt failed here."""
         self.tracker.abandon(run)
         self._end_run(call, progress)
 
@@ -116,7 +113,7 @@
         try:
             await self._check_upstream(plan, end, run)
         finally:
-            # Also if its caller leaves meanwhile: peers would think that it still runs.
+            # Also on cancellation, or peers would take it for running.
             self._end_run(call, progress)
         if end.kind in (EndKind.DONE, EndKind.ANSWERED):
             cleared = self.quarantine.record_success(call.identity, self.clock())
@@ -146,7 +143,12 @@
         from pondpin.relay.attempts.quarantine_records import QuarantineRecords
 
         return QuarantineRecords(
-            self.quarantine_sync, self.tracker, self.table, self.turn, self.list_at, self.metrics
+            self.quarantine_sync,
+            self.tracker,
+            self.table,
+            self.trial_rank,
+            self.list_at,
+            self.metrics,
         )
 
     def step(self, now: float) -> None:
--- a/pondpin/relay/attempts/handler.py
+++ b/pondpin/relay/attempts/handler.py
@@ -43,7 +43,7 @@
     from pondpin.relay.upstreams.leases import LeaseGroup, LeaseManager
     from pondpin.relay.upstreams.reports import ReportClient
 
-# Limit of attempts for a request, including those that sent nothing.
+# Including attempts that sent nothing.
 MAX_ATTEMPTS = 5
 # The caller of a stopping instance finds another one at once.
 STOPPING_RETRY_SECONDS = 0.05
@@ -100,7 +100,7 @@
             route = admitted.route
             call = self._make_call(incoming, reply, metadata, admitted, arrived)
             self._window(call.service).record_request(arrived)
-            await self._serve_unless_gone(call)
+            await self._serve_until_disconnect(call)
         except PondpinError as error:
             self.request_log.refused(metadata, route, error, arrived, self.admission_state())
             send_refusal(reply, metadata.attempt_id, error)
@@ -131,15 +131,15 @@
             ),
         )
 
-    async def _serve_unless_gone(self, call: RelayCall) -> None:
-        """Serve a request; if its caller leaves, cancel it unless it must not be repeated.
+    async def _serve_until_disconnect(self, call: RelayCall) -> None:
+        """Serve a request; cancel it if its caller disconnects, unless it must not be repeated.
 
-        A request may be read long after its caller left. Yield once to read the close that follows
-        it, before the request is sent to an upstream on a kept connection.
+        A request may be read long after its caller disconnected: yielding once reads the close that
+        follows it, before the request is sent on an idle connection.
         """
         await asyncio.sleep(0)
         if call.reply.is_closed:
-            self.request_log.caller_gone(call)
+            self.request_log.caller_disconnected(call)
             return
         task = asyncio.ensure_future(self._serve(call))
         if call.route.kind is not RouteKind.UNSAFE:
@@ -150,7 +150,7 @@
             if not task.cancelled():
                 task.cancel()
                 raise
-            self.request_log.caller_gone(call)
+            self.request_log.caller_disconnected(call)
 
     async def _serve(self, call: RelayCall) -> None:
         progress = Progress(last_event_number=call.resume_event_number)
@@ -270,7 +270,7 @@
         return ""
 
     def on_head(self, plan: Plan, head: ResponseHead, sent_at: float) -> None:
-        """Handle the head of a response to a request that was sent at a moment."""
+        """Handle the head of a response."""
         self._health.observe_head(plan, head, sent_at)
 
     def _send_whole(self, call: RelayCall, progress: Progress, end: AttemptEnd) -> None:
@@ -295,8 +295,6 @@
 
 @dataclass(frozen=True, slots=True)
 class _Observer:
-    """Implements AttemptObserver."""
-
     handler: RelayHandler
     call: RelayCall
     progress: Progress
--- a/pondpin/relay/attempts/liveness_checks.py
+++ b/pondpin/relay/attempts/liveness_checks.py
@@ -21,16 +21,16 @@
 
 
 class LivenessChecks:
-    """Connects to upstreams whose connections broke, for a run tracker."""
+    """Connects to upstreams to check them, for a run tracker."""
 
     def __init__(self, tracker: RunTracker) -> None:
         self._tracker = tracker
         self._checks_by_life: dict[int, asyncio.Task[None]] = {}
 
     async def check(self, run: Run, state: UpstreamState) -> None:
-        """Check whether the upstream's life ended after a request broke off there."""
+        """Check an upstream after a request broke off there."""
         run.ended_at = self._tracker.clock()
-        # A worker may also leave by removing its entry: then its end is planned.
+        # The end of a worker that is leaving or has removed its entry is planned.
         run.broken = self._tracker.table.is_in_service(state)
         if run.broken:
             await asyncio.wait((self.start_check(state),), timeout=ANSWER_SECONDS)
@@ -60,11 +60,11 @@
             self.record_refused(state)
 
     def record_refused(self, state: UpstreamState) -> None:
-        """Record the end of a life that refuses connections, with its recent runs."""
+        """Record the end of a life that refuses connections."""
         self._record_end(state, LATE_START_SECONDS, lambda run: True)
 
     def record_unlisted(self) -> None:
-        """Record the ends of lives that are no longer listed since requests broke off there."""
+        """Record the ends of lives that left the list after requests broke off there."""
         unlisted = {
             run.upstreams[0].life: run.upstreams[0]
             for runs in self._tracker.runs_by_life.values()
--- a/pondpin/relay/attempts/passive_health.py
+++ b/pondpin/relay/attempts/passive_health.py
@@ -19,7 +19,7 @@
 
 
 class PassiveHealth:
-    """Passive health checks of upstreams by the results of attempts."""
+    """Passive health checks."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self._clock = clock
 
     def observe_end(self, plan: Plan, end: AttemptEnd, began: float) -> None:
-        """Update the upstream's health from the end of an attempt."""
+        """Update an upstream's health after an attempt."""
         now = self._clock()
         result = end.kind.value
         self._metrics.attempts.inc({"upstream": plan.lead.listed.service, "result": result})
@@ -49,7 +49,7 @@
             self._metrics.withheld_attempts.inc({})
             return
         if end.kind is EndKind.NOT_EXECUTED or asked_for_rest(plan.lead, began):
-            # An upstream that asks for rest is healthy.
+            # An upstream that refuses a request or asks for a rest is healthy.
             return
         if end.kind is EndKind.STALLED and now - began < MIN_STALL_SECONDS:
             # The deadline expired; don't count this against the upstream.
@@ -88,11 +88,8 @@
             self._notices.record_leaving(plan.lead.life, "misdirected", now)
 
     def _handle_notices(self, lead: UpstreamState, head: ResponseHead, sent_at: float) -> None:
-        """Apply the notices of a response.
-
-        A response to another request came late on a connection to the same process, and counts. A
-        success without the upstream's signature may come from anywhere, and proves nothing.
-        """
+        # A late response to another request comes from the same process, and counts. A success
+        # without the upstream's signature may come from anywhere, and proves nothing.
         if head.status < FIRST_FAILURE and not head.signed:
             return
         self._notices.handle_head(SentRequest(lead.id, lead.life, REQUEST, sent_at), head)
@@ -101,6 +98,6 @@
 
 
 def asked_for_rest(state: UpstreamState, since: float) -> bool:
-    """Whether an upstream has asked for rest since a moment."""
+    """Whether an upstream has asked for a rest since a moment."""
     rest = state.standing.rest
     return rest is not None and rest.until > rest.received_at >= since
--- a/pondpin/relay/attempts/placer.py
+++ b/pondpin/relay/attempts/placer.py
@@ -39,7 +39,7 @@
     """Plans attempts; raises PondpinError if no upstream can take a request."""
 
     planner: Planner
-    turns: Dispatcher
+    dispatcher: Dispatcher
     leases: Callable[[], "LeaseManager"]
     send_checks: SendChecks
     table: UpstreamTable
@@ -115,7 +115,7 @@
             self.permits().release(progress)
 
     def _rest_wait(self, call: RelayCall, progress: Progress) -> float | None:
-        """Seconds until a rest is over; None if that is too late, or no rest is the cause."""
+        """Seconds to wait for rests or slow starts; None if too late, or neither is the cause."""
         now = self.clock()
         states = self._untried(call, progress)
         cause = find_unavailability((state.standing for state in states), now)
@@ -159,23 +159,23 @@
                 plan = self.planner.plan(call, progress, avoid)
                 if plan is None:
                     return None
-                decision = self.turns.decide(call, progress, plan, entry)
+                decision = self.dispatcher.decide(call, progress, plan, entry)
                 if decision is DispatchDecision.SEND:
                     return plan
                 if decision is DispatchDecision.REFUSE:
                     raise self._too_late_error(call, plan)
-                entry = self.turns.update_queue(call, progress, plan, entry, decision)
+                entry = self.dispatcher.update_queue(call, progress, plan, entry, decision)
                 await self._wait_to_replan(plan, entry, decision)
         finally:
-            self.turns.dequeue(entry)
+            self.dispatcher.dequeue(entry)
 
     async def _wait_to_replan(
         self, plan: Plan, entry: QueueEntry | None, decision: DispatchDecision
     ) -> None:
         planned_at = self.clock()
-        await asyncio.sleep(self.turns.replan_delay(plan, decision))
-        while not self.turns.should_replan(entry, planned_at):
-            await asyncio.sleep(self.turns.replan_delay(plan, decision))
+        await asyncio.sleep(self.dispatcher.replan_delay(plan, decision))
+        while not self.dispatcher.should_replan(entry, planned_at):
+            await asyncio.sleep(self.dispatcher.replan_delay(plan, decision))
 
     def _too_late_error(self, call: RelayCall, plan: Plan) -> PondpinError:
         assert plan.choice is not None, "only prompts wait"
--- a/pondpin/relay/attempts/quarantine_records.py
+++ b/pondpin/relay/attempts/quarantine_records.py
@@ -32,7 +32,7 @@
 from pondpin.relay.upstreams.table import UpstreamTable
 from pondpin.request_identity import format_identity
 
-# A suspect is held this long while another run of it goes on, and then refused: a run that crashes
+# A suspect is held this long while another run of it continues, and then refused: one that crashes
 # its worker ends in 0.1 s, a harmless request is cleared as soon as a run completes.
 HOLD_SECONDS = 1.0
 # Retry delay of a suspect that was refused then.
@@ -49,7 +49,7 @@
     quarantine_sync: QuarantineSync
     tracker: RunTracker
     table: UpstreamTable
-    turn: TrialRank
+    trial_rank: TrialRank
     list_at: Callable[[], float | None]
     metrics: Metrics
 
@@ -62,63 +62,63 @@
         self.unsent: list[NamedEnd] = []
 
     async def admit(self, call: RelayCall, progress: Progress) -> None:
-        """Admit a request to placement, or raise PondpinError; see CrashGuard."""
+        """See CrashGuard."""
         limit = min(call.deadline, self.clock() + HOLD_SECONDS)
         while True:
-            judgement = self.judge(call)
-            progress.suspected = judgement.verdict is Verdict.SUSPECTED
-            progress.spent_releases = judgement.failed_releases
-            if judgement.verdict is Verdict.QUARANTINED:
-                raise self._refusal(call, judgement)
+            assessment = self.assess(call)
+            progress.suspected = assessment.verdict is Verdict.SUSPECTED
+            progress.spent_releases = assessment.failed_releases
+            if assessment.verdict is Verdict.QUARANTINED:
+                raise self._refusal(call, assessment)
             if not progress.suspected:
                 return
             now = self.clock()
             is_running = self.quarantine.is_running(call.identity, now)
-            if now >= judgement.earliest_run_at and not is_running:
+            if now >= assessment.earliest_run_at and not is_running:
                 return
             if now >= limit:
-                detail = _refusal_detail(call, judgement)
+                detail = _refusal_detail(call, assessment)
                 raise PondpinError(Code.SUSPECTED, detail, retry_after=RETRY_SECONDS)
             await asyncio.sleep(POLL_SECONDS)
 
-    def judge(self, call: RelayCall) -> Assessment:
-        """The verdict on a request now."""
+    def assess(self, call: RelayCall) -> Assessment:
+        """Assess a request now."""
         states = self.table.of_service(call.service)
-        surroundings = AssessmentContext(
+        context = AssessmentContext(
             upstream_count=len(states),
             releases=frozenset(release_id(state) for state in states if not state.leaving),
-            trial_rank=self.turn(call.identity),
+            trial_rank=self.trial_rank(call.identity),
         )
-        return self.quarantine.assess(call.identity, self.clock(), surroundings)
+        return self.quarantine.assess(call.identity, self.clock(), context)
 
-    def _refusal(self, call: RelayCall, judgement: Assessment) -> PondpinError:
+    def _refusal(self, call: RelayCall, assessment: Assessment) -> PondpinError:
         self.metrics.quarantined_requests.inc({"service": call.service})
-        left = max(RETRY_SECONDS, judgement.until - self.clock())
-        return PondpinError(Code.QUARANTINED, _refusal_detail(call, judgement), retry_after=left)
+        left = max(RETRY_SECONDS, assessment.until - self.clock())
+        return PondpinError(Code.QUARANTINED, _refusal_detail(call, assessment), retry_after=left)
 
     def quarantine_reason(self, call: RelayCall, progress: Progress, is_begun: bool) -> str:
         """Why a request must not be sent as planned under a milder verdict; empty if it may.
 
         is_begun: the request's own run has begun, and is not another one.
         """
-        judgement = self.judge(call)
-        if judgement.verdict is Verdict.FREE:
+        assessment = self.assess(call)
+        if assessment.verdict is Verdict.FREE:
             return ""
-        if judgement.verdict is Verdict.QUARANTINED or not progress.suspected:
-            return str(judgement.verdict.value)
+        if assessment.verdict is Verdict.QUARANTINED or not progress.suspected:
+            return str(assessment.verdict.value)
         is_running = not is_begun and self.quarantine.is_running(call.identity, self.clock())
         return "another run of it goes on" if is_running else ""
 
     def allows_retry(self, call: RelayCall, end: AttemptEnd) -> bool:
         """Whether the verdict allows a retry after an attempt."""
-        judgement = self.judge(call)
-        if judgement.verdict is Verdict.FREE:
+        assessment = self.assess(call)
+        if assessment.verdict is Verdict.FREE:
             return True
         if not end.may_have_run:
-            return judgement.verdict is Verdict.SUSPECTED
+            return assessment.verdict is Verdict.SUSPECTED
         # A request that may still run at one upstream is sent to no other.
         ended = end.kind is EndKind.BROKEN
-        return judgement.verdict is Verdict.SUSPECTED and ended and judgement.allows_retry
+        return assessment.verdict is Verdict.SUSPECTED and ended and assessment.allows_retry
 
     def record_end(self, observed: ObservedEnd) -> None:
         """Record an end that this instance observed, and broadcast it."""
@@ -184,24 +184,23 @@
     def describe(self, identity: int) -> tuple[Assessment, tuple[str, ...], float]:
         """The verdict on an identity in any service, its evidence and the seconds left."""
         now = self.clock()
-        surroundings = AssessmentContext(upstream_count=len(self.table.by_id), trial_rank=1)
-        judgement = self.quarantine.assess(identity, now, surroundings)
-        evidence = tuple(self._describe_end(end, now) for end in judgement.ends)
-        return judgement, evidence, round(max(0.0, judgement.until - now), 2)
+        context = AssessmentContext(upstream_count=len(self.table.by_id), trial_rank=1)
+        assessment = self.quarantine.assess(identity, now, context)
+        evidence = tuple(self._describe_end(end, now) for end in assessment.ends)
+        return assessment, evidence, round(max(0.0, assessment.until - now), 2)
 
     def _log_verdicts(self, identities: Iterable[int]) -> None:
-        """Log each verdict that changed."""
         for identity in set(identities):
-            judgement, evidence, seconds = self.describe(identity)
-            if judgement.verdict is self._verdict_by_identity.get(identity, Verdict.FREE):
+            assessment, evidence, seconds = self.describe(identity)
+            if assessment.verdict is self._verdict_by_identity.get(identity, Verdict.FREE):
                 continue
-            self._verdict_by_identity[identity] = judgement.verdict
-            if judgement.verdict is Verdict.FREE:
+            self._verdict_by_identity[identity] = assessment.verdict
+            if assessment.verdict is Verdict.FREE:
                 del self._verdict_by_identity[identity]
             self.log.write(
                 VerdictChanged(
                     identity=format_identity(identity),
-                    verdict=judgement.verdict.value,
+                    verdict=assessment.verdict.value,
                     ends=evidence,
                     seconds=seconds,
                 )
@@ -212,9 +211,9 @@
         return f"{self.table.label_of(end.life)} {age} ms ago, seen by {end.source}"
 
 
-def _refusal_detail(call: RelayCall, judgement: Assessment) -> str:
-    """The detail of a refusal; operators find the evidence by the identity."""
+def _refusal_detail(call: RelayCall, assessment: Assessment) -> str:
+    # Operators find the evidence by the identity.
     return (
         f"request {format_identity(call.identity)}: "
-        f"{len(judgement.ends)} upstreams ended while it ran"
+        f"{len(assessment.ends)} upstreams ended while it ran"
     )
--- a/pondpin/relay/attempts/request_log.py
+++ b/pondpin/relay/attempts/request_log.py
@@ -85,7 +85,7 @@
         labels = {"class": "refused", "code": str(int(error.code)), "ran": error.ran.value}
         self.metrics.requests.inc(labels)
 
-    def caller_gone(self, call: RelayCall) -> None:
+    def caller_disconnected(self, call: RelayCall) -> None:
         """Record that the caller disconnected."""
         after = round((self.clock() - call.arrived_at) * MILLISECONDS)
         line = CallerDisconnected(
@@ -146,7 +146,7 @@
     def attempt_ended(
         self, call: RelayCall, progress: Progress, end: AttemptEnd, reason: str
     ) -> None:
-        """Record an attempt that failed; reason: why no other follows."""
+        """Record a failed attempt; reason: why no other follows, if none does."""
         if end.kind is EndKind.ANSWERED and reason:
             return
         self.log.write(
--- a/pondpin/relay/attempts/run_tracker.py
+++ b/pondpin/relay/attempts/run_tracker.py
@@ -1,8 +1,7 @@
 """Tracks which requests ran on an upstream when its life ended.
 
-A broken connection proves nothing: it may have been reset or cut while the upstream lives on. So
-the instance connects again. Only a refused connection, or a later life in the list, shows that the
-life has ended.
+A broken connection proves nothing: it may have been reset or cut while the upstream runs on. So
+the instance connects again. Only a refused connection, or a list without the life, shows its end.
 """
 
 import asyncio
@@ -20,11 +19,11 @@
 if TYPE_CHECKING:
     from pondpin.relay.attempts.liveness_checks import LivenessChecks
 
-# A worker starts a request after its prefill, which takes at least this share of the known time.
+# A worker starts a request after its prefill, which takes at least this share of its forecast.
 MIN_PREFILL_SHARE = 0.7
 # A request that has been answered for this long did not crash its upstream by starting to run.
 ANSWERED_SECONDS = 0.3
-# After a caller left, the worker may start its request before it reads the connection's close.
+# After a disconnect, the worker may start the request before it reads the connection's close.
 LATE_START_SECONDS = 1.0
 # Delay of the check on an upstream with an abandoned request, unless it was seen meanwhile.
 CHECK_DELAY_SECONDS = 0.3
@@ -34,9 +33,9 @@
 
 @dataclass(eq=False)
 class Run:
-    """A request on the upstreams of one attempt; times are by the steady clock.
+    """A request on the upstreams of one attempt; times are monotonic.
 
-    prefill_seconds: duration of the prefill of its part of the prompt, 0 if not known.
+    prefill_seconds: forecast for the prefill of its part of the prompt, 0 if not known.
     """
 
     identity: int
--- a/pondpin/relay/attempts/send_checks.py
+++ b/pondpin/relay/attempts/send_checks.py
@@ -86,7 +86,7 @@
     The limit of requests at one that returns from its rest was applied when it was planned.
     """
     for state in (plan.lead, *plan.helpers):
-        bar = state.standing.block_reason(now)
-        if bar in (BlockReason.LEAVING, BlockReason.RESTING):
-            return f"{state.id} {bar.value}"
+        reason = state.standing.block_reason(now)
+        if reason in (BlockReason.LEAVING, BlockReason.RESTING):
+            return f"{state.id} {reason.value}"
     return ""
--- a/pondpin/relay/call.py
+++ b/pondpin/relay/call.py
@@ -11,8 +11,7 @@
 if TYPE_CHECKING:
     from pondpin.pacer import Permit
 
-# A caller abandons a stream after the longest of these without an event, also before the first:
-# seconds, latency targets of the route, gap targets of the route.
+# The longest of these seconds, latency targets and gap targets counts, also before the first event.
 MIN_CALLER_TIMEOUT_SECONDS = 2.0
 CALLER_TIMEOUT_TARGETS = 4.0
 CALLER_TIMEOUT_GAPS = 8.0
@@ -112,7 +111,7 @@
     attempts: int = 0
     sends: int = 0
     may_have_run: bool = False
-    # Lives of upstreams that an attempt was sent to.
+    # Lives that later attempts avoid: those tried, and helpers at fault.
     tried_lives: frozenset[int] = frozenset()
     last_upstream: str = ""
     last_life: int = 0
--- a/pondpin/relay/caller_limits.py
+++ b/pondpin/relay/caller_limits.py
@@ -3,9 +3,9 @@
 from pondpin.http_server import ServerLimits
 from pondpin.relay.model import RelayConfiguration
 
-# Time for a caller to send a body, in addition to the time for its headers.
+# Time for a body, in addition to the time for its headers.
 BODY_SEND_SECONDS = 10.0
-# Share of an instance's memory for the request bodies that it holds at the same time.
+# Share of the instance's memory for request bodies held at once.
 BODY_MEMORY_SHARE = 0.25
 # Connections stay open for a little longer than the idle timeout that callers are told.
 IDLE_MARGIN_SECONDS = 2.0
--- a/pondpin/relay/entry.py
+++ b/pondpin/relay/entry.py
@@ -1,4 +1,4 @@
-"""Composition of a relaying instance from its servers, tables, handlers and controllers."""
+"""Composition of a relaying instance."""
 
 import asyncio
 import random
@@ -58,7 +58,7 @@
 CONNECT_SECONDS = 0.3
 # Short, so that few idle connections are kept and requests rarely meet one that is being closed.
 IDLE_SECONDS = 4.0
-# Part of the key bound reserved for the delay to the upstream and clock drift.
+# Part of the keys' age bound reserved for the delay to the upstream and clock drift.
 KEY_MARGIN_SECONDS = 0.4
 # Within this, some instance has read a configuration change and broadcast it.
 CHANGE_BROADCAST_SECONDS = 0.7
@@ -167,7 +167,7 @@
             quarantine_sync=self.gossip.quarantine_sync,
             tracker=RunTracker(self.http.try_connect, self.table, self.log, steady_now),
             table=self.table,
-            turn=self.gossip.turn_of,
+            trial_rank=self.gossip.turn_of,
             list_at=lambda: self.publication.list_at,
             policy=policy,
             metrics=self.metrics,
@@ -187,7 +187,7 @@
         )
         placer = Placer(
             planner=planner,
-            turns=dispatcher,
+            dispatcher=dispatcher,
             leases=lambda: self.lazy.leases,
             send_checks=checks,
             table=self.table,
@@ -275,12 +275,11 @@
         )
 
     def _maintain(self) -> None:
-        """Record ended lives and expire old state."""
         self.crash_guard.step(steady_now())
         self.lazy.expire()
 
     def _instance_count(self) -> int:
-        """Count the instances that share system-wide limits; silent peers may be alive."""
+        """Count the instances that share limits; silent peers may be alive."""
         return 1 + len(self.gossip.hosts)
 
     def knows_peers(self) -> bool:
@@ -361,7 +360,7 @@
         await self.stop()
 
     def _refuses_new(self, now: float) -> bool:
-        """Whether a new request is refused, as it may outlast the process."""
+        """Whether new requests are refused, as they may outlast the process."""
         return self._stopping_at is not None and now - self._stopping_at >= BALANCER_REMOVAL_SECONDS
 
     @property
--- a/pondpin/relay/housekeeping.py
+++ b/pondpin/relay/housekeeping.py
@@ -9,7 +9,7 @@
 
 
 class HousekeepingController(Controller):
-    """Flushes the log, updates gauges, and records and expires state of upstreams."""
+    """Flushes the log, updates gauges, and maintains state of upstreams."""
 
     period = PERIOD_SECONDS
 
--- a/pondpin/relay/lazy_components.py
+++ b/pondpin/relay/lazy_components.py
@@ -76,7 +76,7 @@
 
     @cached_property
     def leases(self) -> "LeaseManager":
-        """Memory leases for prompts that are split over several engines."""
+        """Memory leases for split prompts."""
         from pondpin.platform.leases import PlatformLeases
         from pondpin.relay.upstreams.leases import LeaseManager
 
@@ -157,6 +157,6 @@
             self._gossip.limits.issuer.expire()
 
     async def wait_released(self) -> None:
-        """Wait until leases that are being released are released or lapse."""
+        """Wait until leases being released are released or lapse."""
         if "leases" in self.__dict__:
             await self.leases.wait_released()
--- a/pondpin/relay/log_events.py
+++ b/pondpin/relay/log_events.py
@@ -47,7 +47,7 @@
 
 
 class PeersChanged(LogEvent, frozen=True, kw_only=True, tag="peers"):
-    """Peers that became live, and peers that were lost, since the last such event."""
+    """Peers became live or were lost since the last such event."""
 
     heard: tuple[str, ...]
     lost: tuple[str, ...]
@@ -136,9 +136,9 @@
 class UpstreamNotice(LogEvent, frozen=True, kw_only=True, tag="upstream_notice"):
     """An upstream announced its shutdown, for the first time, or asked for a rest.
 
-    answer: the kind of request that it answered. life: its number, the same at every instance.
-    list_says, list_age: its state in the list of upstreams, and the list's age, -1 if it was never
-    read. rest: seconds asked for; until: its end by the monotonic clock; odd: an invalid value.
+    answer: the kind of request that it answered. list_says, list_age: its state in the list of
+    upstreams, and the list's age, -1 if it was never read. rest: seconds asked for; until: its end
+    by the monotonic clock; odd: an invalid value.
     """
 
     upstream: str
@@ -213,7 +213,7 @@
 
 
 class AttemptEnded(LogEvent, frozen=True, kw_only=True, tag="attempt_ended"):
-    """An attempt ended without a complete response."""
+    """An attempt failed."""
 
     request: str
     attempt: int
@@ -227,7 +227,7 @@
 
 
 class Refused(LogEvent, frozen=True, kw_only=True, tag="refused"):
-    """A request was refused before it was sent, or after all upstreams refused it."""
+    """A request was refused or failed; its caller got an error of pondpin."""
 
     request: str
     code: str
@@ -271,7 +271,7 @@
 
 
 class UpstreamEnded(LogEvent, frozen=True, kw_only=True, tag="upstream_ended"):
-    """A request broke off at an upstream or left it; answer: the result of connecting there then.
+    """An upstream was checked by connecting after a request broke off; answer: the result.
 
     ran: identities of this instance's requests on the upstream, each with the ms since it was sent
     and whether it may have just started.
@@ -306,7 +306,7 @@
 
 
 class LeaseFailed(LogEvent, frozen=True, kw_only=True, tag="leases"):
-    """Memory leases of a request were refused or could not be released."""
+    """Memory leases of a request were refused, unused or not released."""
 
     request: str
     outcome: str
@@ -314,7 +314,7 @@
 
 
 class LinesDropped(LogEvent, frozen=True, kw_only=True, tag="lines_dropped"):
-    """Lines that were dropped in the last second, by the rate limit or a full queue."""
+    """Lines dropped in the last second, by the rate limit or a full queue."""
 
     routine: int
     important: int
--- a/pondpin/relay/model.py
+++ b/pondpin/relay/model.py
@@ -108,7 +108,8 @@
 class RelayConfiguration:
     """A decoded version of the configuration; a host's routes have the longest prefix first.
 
-    shortest_gap_by_service: the strictest gap target of each service's streams.
+    shortest_gap_by_service: the strictest gap target of each service's streams, computed once as
+    placement needs it.
     """
 
     version: int
@@ -119,7 +120,6 @@
     shortest_gap_by_service: Mapping[str, float] = field(init=False)
 
     def __post_init__(self) -> None:
-        """Compute the strictest gap targets once; placement needs them."""
         gaps: dict[str, float] = {}
         for route in itertools.chain.from_iterable(self.routes_by_host.values()):
             if route.gap_target > 0:
@@ -150,10 +150,10 @@
     # Number of entries that the upstream has written in this life.
     sequence: int = field(default=0, compare=False)
     # Identifies the life among instances: 9 bytes in a digest, where the id alone takes 11.
+    # Computed once, as every placement needs it.
     life: int = field(init=False, compare=False)
 
     def __post_init__(self) -> None:
-        """Compute the life's number once; every placement needs it."""
         object.__setattr__(self, "life", life_of(self.id, self.born))
 
     def is_before(self, other: "ListedUpstream") -> bool:
@@ -176,7 +176,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestMetadata:
-    """A caller's headers; timeout is in seconds, None if not given."""
+    """A caller's headers; timeout is None if not given."""
 
     attempt_id: str
     host: str
--- a/pondpin/relay/operator_api.py
+++ b/pondpin/relay/operator_api.py
@@ -101,10 +101,10 @@
 def held_requests(guard: CrashGuard) -> tuple[HeldRequest, ...]:
     """List the suspected and quarantined requests."""
     return tuple(
-        HeldRequest(format_identity(identity), judgement.verdict.value, ends, seconds)
+        HeldRequest(format_identity(identity), assessment.verdict.value, ends, seconds)
         for identity in guard.quarantine.ends_by_identity
-        for judgement, ends, seconds in (guard.records.describe(identity),)
-        if judgement.verdict is not Verdict.FREE
+        for assessment, ends, seconds in (guard.records.describe(identity),)
+        if assessment.verdict is not Verdict.FREE
     )
 
 
@@ -158,10 +158,10 @@
     standing, health = state.standing, state.health
     if standing.leaving is not None:
         return "leaves", standing.leaving.source, now - standing.leaving.at, -1.0
-    bar = state.bar(now)
-    if bar and standing.rest is not None:
+    reason = state.bar(now)
+    if reason and standing.rest is not None:
         left = max(0.0, standing.rest.resume_at - now)
-        return bar.value, "its answer", now - standing.rest.received_at, left
+        return reason.value, "its answer", now - standing.rest.received_at, left
     if health.is_ejected(now):
         return "ejected", "attempts here", -1.0, health.ejected_until - now
     if state.needs_probe:
--- a/pondpin/relay/publication_handler.py
+++ b/pondpin/relay/publication_handler.py
@@ -68,7 +68,6 @@
             self._record_restart(restart)
 
     def _record_restart(self, restart: Restart) -> None:
-        """Handle a restart; the code is loaded at the first one."""
         from pondpin.relay.upstreams.restarts import handle_restart
 
         handle_restart(restart, self.table, self.http, self.log, self.clock())
