--- a/pondpin/relay/attempts/__init__.py
+++ b/pondpin/relay/attempts/__init__.py
@@ -1,1 +1,1 @@
-"""Serving a request: admission, attempts, the final response."""
+"""Serving a request: admission, attempts, retries, the final response."""
--- a/pondpin/relay/attempts/attempt.py
+++ b/pondpin/relay/attempts/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at an upstream: sends the request, checks the head, forwards complete events."""
+"""One attempt at an upstream."""
 
 import asyncio
 from collections.abc import Callable
--- a/pondpin/relay/attempts/crash_guard.py
+++ b/pondpin/relay/attempts/crash_guard.py
@@ -1,4 +1,4 @@
-"""Holds back requests that crash the workers running them.
+"""Holds back requests that crash the upstreams running them.
 
 Before every send `pondpin.quarantine` decides by the ends of upstream lives that attempts, the list
 of upstreams and peers report.
--- a/pondpin/relay/attempts/events.py
+++ b/pondpin/relay/attempts/events.py
@@ -14,7 +14,7 @@
 
 
 class EventSplitter:
-    """Buffers bytes and returns complete events."""
+    """Buffers partial events."""
 
     def __init__(self) -> None:
         self._buffer = b""
--- a/pondpin/relay/attempts/handler.py
+++ b/pondpin/relay/attempts/handler.py
@@ -1,4 +1,4 @@
-"""Serves relayed requests: admission, attempts, retries and the final response."""
+"""Serves relayed requests."""
 
 import asyncio
 import random
--- a/pondpin/relay/attempts/liveness_checks.py
+++ b/pondpin/relay/attempts/liveness_checks.py
@@ -30,7 +30,7 @@
     async def check(self, run: Run, state: UpstreamState) -> None:
         """Check an upstream after a request broke off there."""
         run.ended_at = self._tracker.clock()
-        # The end of a worker that is leaving or has removed its entry is planned.
+        # The end of an upstream that is leaving or has removed its entry is planned.
         run.broken = self._tracker.table.is_in_service(state)
         if run.broken:
             await asyncio.wait((self.start_check(state),), timeout=ANSWER_SECONDS)
--- a/pondpin/relay/attempts/quarantine_records.py
+++ b/pondpin/relay/attempts/quarantine_records.py
@@ -33,7 +33,7 @@
 from pondpin.request_identity import format_identity
 
 # A suspect is held this long while another run of it continues, and then refused: one that crashes
-# its worker ends in 0.1 s, a harmless request is cleared as soon as a run completes.
+# its upstream ends in 0.1 s, a harmless request is cleared as soon as a run completes.
 HOLD_SECONDS = 1.0
 # Retry delay of a suspect that was refused then.
 RETRY_SECONDS = 0.5
--- a/pondpin/relay/attempts/run_tracker.py
+++ b/pondpin/relay/attempts/run_tracker.py
@@ -19,15 +19,15 @@
 if TYPE_CHECKING:
     from pondpin.relay.attempts.liveness_checks import LivenessChecks
 
-# A worker starts a request after its prefill, which takes at least this share of its forecast.
+# Upstreams start a request after its prefill, which takes at least this share of its forecast.
 MIN_PREFILL_SHARE = 0.7
 # A request that has been answered for this long did not crash its upstream by starting to run.
 ANSWERED_SECONDS = 0.3
-# After a disconnect, the worker may start the request before it reads the connection's close.
+# After a disconnect, the upstream may start the request before it reads the connection's close.
 LATE_START_SECONDS = 1.0
 # Delay of the check on an upstream with an abandoned request, unless it was seen meanwhile.
 CHECK_DELAY_SECONDS = 0.3
-# The list shows the end of a worker within three heartbeats and the time of a read.
+# The list shows the end of an upstream within three heartbeats and the time of a read.
 LIST_LAG_SECONDS = 6.0
 
 
--- a/pondpin/relay/entry.py
+++ b/pondpin/relay/entry.py
@@ -279,7 +279,7 @@
         self.lazy.expire()
 
     def _instance_count(self) -> int:
-        """Count the instances that share limits; silent peers may be alive."""
+        """Silent peers count, as they may be alive."""
         return 1 + len(self.gossip.hosts)
 
     def knows_peers(self) -> bool:
@@ -292,7 +292,7 @@
         return RetryBounds(limits.retry_ratio, limits.retry_allowance, limits.retry_window_seconds)
 
     def admission_state(self) -> AdmissionState:
-        """The state by which requests are admitted now."""
+        """The current admission state."""
         limits = self.settings.limits
         max_age = limits.key_ms / MILLISECONDS - KEY_MARGIN_SECONDS
         return AdmissionState(
@@ -360,7 +360,7 @@
         await self.stop()
 
     def _refuses_new(self, now: float) -> bool:
-        """Whether new requests are refused, as they may outlast the process."""
+        """New requests may outlast the process."""
         return self._stopping_at is not None and now - self._stopping_at >= BALANCER_REMOVAL_SECONDS
 
     @property
--- a/pondpin/relay/lazy_components.py
+++ b/pondpin/relay/lazy_components.py
@@ -54,7 +54,7 @@
 
 
 class LazyComponents:
-    """Creates each component once, at its first use."""
+    """Creates each component at its first use."""
 
     def __init__(
         self,
--- a/pondpin/relay/log.py
+++ b/pondpin/relay/log.py
@@ -1,4 +1,4 @@
-"""The structured log on standard output: bounded and non-blocking."""
+"""The structured log on standard output."""
 
 import os
 from collections import deque
--- a/pondpin/relay/log_events.py
+++ b/pondpin/relay/log_events.py
@@ -271,10 +271,10 @@
 
 
 class UpstreamEnded(LogEvent, frozen=True, kw_only=True, tag="upstream_ended"):
-    """An upstream was checked by connecting after a request broke off; answer: the result.
+    """An upstream was checked by connecting, as a request broke off or was abandoned.
 
-    ran: identities of this instance's requests on the upstream, each with the ms since it was sent
-    and whether it may have just started.
+    answer: the result. ran: identities of this instance's requests there, each with the ms since it
+    was sent and whether it may have just started.
     """
 
     upstream: str
