--- a/pondpin/relay/attempts/placer.py
+++ b/pondpin/relay/attempts/placer.py
@@ -115,7 +115,7 @@
             self.permits().release(progress)
 
     def _rest_wait(self, call: RelayCall, progress: Progress) -> float | None:
-        """Seconds until a rest is over; None if that is too late, or no rest is the cause."""
+        """Seconds to wait for rests or slow starts; None if too late, or neither is the cause."""
         now = self.clock()
         states = self._untried(call, progress)
         cause = find_unavailability((state.availability for state in states), now)
