--- a/pondpin/availability.py
+++ b/pondpin/availability.py
@@ -1,8 +1,8 @@
-"""Where an upstream's life stands by its own word: whether it leaves, rests, and what it takes.
+"""Availability of an upstream's life as the upstream reported it: leaving, resting, request limit.
 
-Kept apart from all else that is known of an upstream, which is built anew when its entry lapses and
-comes back: health may be forgotten, and a look at it dropped when few upstreams are left; these may
-not. Times are in seconds of the steady clock.
+Kept separately from all other state of an upstream, which is rebuilt when its list entry lapses and
+returns: health may be lost, and health checks are skipped when few upstreams are left, but reported
+availability must survive. Times are in seconds of the steady clock.
 """
 
 import enum
@@ -19,21 +19,21 @@
 
 Life = TypeVar("Life", bound=Hashable)
 
-# Lives that are remembered beside those in use: ten times the upstreams of the largest fleet, 2 MB.
+# Size above which lives not in use are evicted: ten times the upstreams of the largest fleet, 2 MB.
 MAX_LIVES = 10_000
-# All that an upstream turned away at one moment would come back at one moment: each instance stays
-# away for up to this share of the rest longer, and this many seconds, by a draw of its own.
+# Random extra wait of each instance after a rest, as a share of the rest and at most so long.
+# Without it all instances would return to the upstream at the same time.
 JITTER_SHARE = 0.1
 MAX_JITTER_SECONDS = 0.5
-# An instance sends one request to an upstream that has rested, one more with each answer and after
-# each such time, all after the last. In time in surges (`measure_rests`): 0.771 0.768 by that,
-# 0.726 0.758 when all that waits comes back at once.
+# Slow start after a rest: one request in flight per instance, one more for each accepted request
+# and for each step, no bound after the last step. Under surges, 0.771 0.768 of the requests are in
+# time with it, 0.726 0.758 when all queued requests return at once (`measure_rests`).
 SLOW_START_STEP_SECONDS = 0.25
 SLOW_START_SECONDS = 2.0
 
 
 class BlockReason(enum.StrEnum):
-    """Why nothing may be sent to an upstream now; empty when something may."""
+    """Why no request may be sent to an upstream now; empty when one may."""
 
     NONE = ""
     LEAVING = "leaves"
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Leaving:
-    """Who first said that a life leaves, and when that was heard."""
+    """The first source that reported a life as leaving, and when the report was received."""
 
     source: str
     at: float
@@ -51,10 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Rest:
-    """What a life asked for last that is still to be kept.
+    """The rest in force, or the last one, of a life.
 
-    until: the end that was asked; back_at: when this instance sends again; answers: requests that
-    it took since.
+    until: the end that the upstream asked for. resume_at: when this instance sends again, after its
+    jitter. accepted: requests that the upstream accepted since.
     """
 
     received_at: float
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True)
 class Availability:
-    """One life; that it leaves is final. is_blank: nothing was ever heard of it."""
+    """Availability of one life; leaving is final. is_empty: nothing was reported about it yet."""
 
     leaving: Leaving | None = None
     rest: Rest | None = None
@@ -73,7 +73,7 @@
     is_empty: bool = True
 
     def record_leaving(self, source: str, now: float) -> bool:
-        """Somebody says that it leaves; True when that is news."""
+        """Record that the life is leaving; True when this was not known."""
         if self.leaving is not None:
             return False
         self.is_empty = False
@@ -81,35 +81,35 @@
         return True
 
     def apply_notice(self, notice: Notice, source: str, now: float, draw: float) -> bool:
-        """Take an answer's word; True when it says anything new. draw: 0 to 1, for the return."""
-        says_leaving = notice.is_leaving and self.record_leaving(source, now)
+        """Apply a response's notice; True when it reports something. draw: 0 to 1, for jitter."""
+        is_newly_leaving = notice.is_leaving and self.record_leaving(source, now)
         if notice.rest > 0:
-            self._note_rest(notice.rest, now, draw)
-        return says_leaving or notice.rest > 0 or bool(notice.invalid_rest)
+            self._extend_rest(notice.rest, now, draw)
+        return is_newly_leaving or notice.rest > 0 or bool(notice.invalid_rest)
 
-    def _note_rest(self, seconds: float, now: float, draw: float) -> None:
-        """The later end counts of two that were asked."""
+    def _extend_rest(self, seconds: float, now: float, draw: float) -> None:
+        """Set the rest unless one in force ends later."""
         until = now + seconds
         if self.rest is not None and until <= self.rest.until:
             return
         self.is_empty = False
-        spread = min(MAX_JITTER_SECONDS, JITTER_SHARE * seconds)
-        self.rest = Rest(now, until, until + draw * spread)
+        max_jitter = min(MAX_JITTER_SECONDS, JITTER_SHARE * seconds)
+        self.rest = Rest(now, until, until + draw * max_jitter)
 
     def inherit_rest(self, earlier: "Availability", since: float) -> None:
-        """Keep a rest that was asked for under the earlier life's name after this life began."""
+        """Keep a rest that was recorded for the earlier life after this life began."""
         if earlier.rest is not None and earlier.rest.received_at >= since:
             self.is_empty = False
             self.rest = earlier.rest
 
     def record_accepted(self, now: float) -> None:
-        """It took a request: after a rest it may have one more. In a rest that changes nothing."""
+        """Count an accepted request for the slow start; no effect while resting."""
         rest = self.rest
         if rest is not None and now >= rest.resume_at:
             self.rest = replace(rest, accepted=rest.accepted + 1)
 
     def block_reason(self, now: float, own_in_flight: int = 0) -> BlockReason:
-        """Why nothing may be sent there; open_here: this instance's requests there."""
+        """Why no request may be sent; own_in_flight: this instance's open requests there."""
         if self.leaving is not None:
             return BlockReason.LEAVING
         rest = self.rest
@@ -117,39 +117,41 @@
             return BlockReason.NONE
         if now < rest.resume_at:
             return BlockReason.RESTING
-        returning = now - rest.resume_at
-        most = 1 + rest.accepted + int(min(returning, SLOW_START_SECONDS) / SLOW_START_STEP_SECONDS)
+        elapsed = now - rest.resume_at
+        allowed = (
+            1 + rest.accepted + int(min(elapsed, SLOW_START_SECONDS) / SLOW_START_STEP_SECONDS)
+        )
         return (
             BlockReason.SLOW_START
-            if returning < SLOW_START_SECONDS and own_in_flight >= most
+            if elapsed < SLOW_START_SECONDS and own_in_flight >= allowed
             else BlockReason.NONE
         )
 
 
 @dataclass
 class AvailabilityTable(Generic[Life]):
-    """The standing of each life; is_kept says of a life that it is in use."""
+    """Availability by life; lives for which is_in_use holds are not evicted."""
 
     is_in_use: Callable[[Life], bool] = lambda life: False
     rng: random.Random = field(default_factory=random.Random)
     by_life: OrderedDict[Life, Availability] = field(default_factory=OrderedDict)
-    # Whether any life has ever named a limit.
+    # Whether any life has ever reported a limit.
     any_limit_reported: bool = False
 
     def get_or_create(self, life: Life) -> Availability:
-        """A life's standing, the same one for as long as it is remembered."""
+        """A life's availability, the same object until it is evicted."""
         found = self.by_life.get(life)
         if found is None:
             found = self.by_life[life] = Availability()
-            self._forget()
+            self._evict()
         return found
 
     def apply_notice(self, life: Life, notice: Notice, source: str, now: float) -> bool:
-        """Take an answer's word; True when it says anything new."""
+        """Apply a response's notice; True when it reports something."""
         return self.get_or_create(life).apply_notice(notice, source, now, self.rng.random())
 
-    def _forget(self) -> None:
-        """Drop the oldest lives beyond the bound, those in use aside."""
+    def _evict(self) -> None:
+        """Evict the oldest lives above MAX_LIVES that are not in use."""
         for life in list(self.by_life)[: max(0, len(self.by_life) - MAX_LIVES)]:
             if not self.is_in_use(life):
                 del self.by_life[life]
@@ -157,17 +159,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Unavailability:
-    """Why none of some upstreams takes a request: all leave, or some rest until a moment."""
+    """Why no upstream of a set accepts a request: all are leaving, or some rest until resume_at."""
 
     reason: BlockReason
     resume_at: float
 
 
-def find_unavailability(standings: Iterable[Availability], now: float) -> Unavailability | None:
-    """Why nobody takes a request, None when somebody does, or nobody is there at all."""
-    known = list(standings)
-    bars = [standing.block_reason(now) for standing in known]
-    if not bars or BlockReason.NONE in bars:
+def find_unavailability(
+    availabilities: Iterable[Availability], now: float
+) -> Unavailability | None:
+    """Why no upstream accepts a request; None when one does, or when there are none."""
+    known = list(availabilities)
+    reasons = [availability.block_reason(now) for availability in known]
+    if not reasons or BlockReason.NONE in reasons:
         return None
     rests = [item.rest for item in known if item.leaving is None and item.rest is not None]
     if not rests:
--- a/pondpin/notices.py
+++ b/pondpin/notices.py
@@ -1,7 +1,7 @@
-"""What an upstream says of itself in an answer: that it leaves, wants rest, or takes only so much.
+"""What an upstream reports of itself in a response: leaving, a rest, or a request limit.
 
-The adapters read it once, each with its own headers; what it means is decided here, for all ways to
-an upstream. Times are in seconds, limits in requests a second.
+Adapters read the values from their own headers; their meaning is decided here, for all adapters.
+Times are in seconds, limits in requests a second.
 """
 
 import email.utils
@@ -9,19 +9,19 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-# The status whose Retry-After is a wish of the upstream itself. A 429 speaks to the account that
-# asked too often, a 3xx of where the answer is: neither keeps other accounts' requests away.
+# The status whose Retry-After asks for a rest of the upstream itself. With a 429 it concerns the
+# account that sent too much, with a 3xx the redirect: neither blocks other accounts' requests.
 REST_STATUS = 503
 DECIMAL = re.compile(r"\d+(\.\d*)?|\.\d+", re.ASCII)
 
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """What the head of one answer says of the upstream that gave it.
+    """What the head of one response reports of its upstream.
 
-    rest: for how many seconds it wants nothing, 0 when it asks for none. odd: a wish for rest that
-    can't be understood, as it came; empty when there is none. limit: what it takes from all
-    instances together, None when it names no limit; odd_limit: one that can't be understood.
+    rest: seconds without requests that it asks for, 0 for none. invalid_rest: a Retry-After that
+    can't be parsed, as received, or empty. limit: what it accepts from all instances together, None
+    when not reported. invalid_limit: a limit that can't be parsed, as received, or empty.
     """
 
     is_leaving: bool = False
@@ -36,55 +36,57 @@
 
 def parse_notice(
     status: int,
-    leaves: bool,
+    is_leaving: bool,
     retry_after: Sequence[str],
     date: str,
     wall_now: float,
     limits: Sequence[str] = (),
 ) -> Notice:
-    """What an answer says; retry_after and limits are all values of those headers, date is when it
-    was made.
-    """
-    limit, odd_limit = _read_limit(limits) if limits else (None, "")
+    """The notice of a response; retry_after and limits: all values of these headers."""
+    limit, invalid_limit = _parse_limit(limits) if limits else (None, "")
     if status != REST_STATUS or not retry_after:
-        is_silent = not leaves and limit is None and not odd_limit
-        return EMPTY_NOTICE if is_silent else Notice(leaves, limit=limit, invalid_limit=odd_limit)
-    rest, odd = 0.0, ""
+        is_empty = not is_leaving and limit is None and not invalid_limit
+        return (
+            EMPTY_NOTICE
+            if is_empty
+            else Notice(is_leaving, limit=limit, invalid_limit=invalid_limit)
+        )
+    rest, invalid_rest = 0.0, ""
     for value in _split(retry_after):
-        seconds = read_rest(value, date, wall_now)
+        seconds = parse_rest(value, date, wall_now)
         if seconds is None:
-            odd = value
+            invalid_rest = value
         else:
-            # Of two that are asked the later end counts.
+            # The latest end applies.
             rest = max(rest, seconds)
-    return Notice(leaves, rest, odd, limit, odd_limit)
+    return Notice(is_leaving, rest, invalid_rest, limit, invalid_limit)
 
 
-def _read_limit(values: Sequence[str]) -> tuple[float | None, str]:
-    # Few upstreams ever name one.
+def _parse_limit(values: Sequence[str]) -> tuple[float | None, str]:
+    # Imported here since few upstreams report a limit.
     from pondpin.upstream_limits import parse_limit
 
     return parse_limit(values)
 
 
-def read_rest(value: str, date: str, wall_now: float) -> float | None:
-    """The seconds that a value asks for, None when it asks for nothing that can be understood.
+def parse_rest(value: str, date: str, wall_now: float) -> float | None:
+    """The seconds that a Retry-After value asks for; None when it is invalid.
 
-    Seconds may have fractions and be as many as they like: what is asked is never shortened. Below
-    zero, with an exponent or without a digit it is no number. A moment counts from when the answer
-    was made, by the clock that made it, where the answer says so; one that is past asks for none.
+    Seconds may have a fraction and have no upper bound: a rest is never shortened. A negative
+    number, an exponent or a number without digits is invalid. An HTTP date counts from the
+    response's Date, the same clock, when there is one; a date in the past asks for no rest.
     """
     if DECIMAL.fullmatch(value):
         return float(value)
-    until = _read_moment(value)
+    until = _parse_http_date(value)
     if until is None:
         return None
-    made_at = _read_moment(date)
+    made_at = _parse_http_date(date)
     return max(0.0, until - (wall_now if made_at is None else made_at))
 
 
 def _split(values: Sequence[str]) -> list[str]:
-    """Single values, also seconds that were joined by commas on their way; moments hold one."""
+    """Single values; numbers joined by commas are split, an HTTP date with its comma is not."""
     found: list[str] = []
     for value in values:
         parts = [part.strip() for part in value.split(",")]
@@ -92,8 +94,8 @@
     return found
 
 
-def _read_moment(text: str) -> float | None:
-    """Seconds since the epoch of an HTTP date."""
+def _parse_http_date(text: str) -> float | None:
+    """Seconds since the epoch of an HTTP date; None when it is invalid."""
     if ":" not in text:
         return None
     try:
--- a/pondpin/pacer.py
+++ b/pondpin/pacer.py
@@ -1,4 +1,4 @@
-"""Permits for limited upstreams, and the even pace at which they are handed out.
+"""Permits for limited upstreams, and the constant rate at which they are issued.
 
 Times are in seconds of the steady clock, rates in permits a second.
 """
@@ -6,17 +6,15 @@
 import math
 from dataclasses import dataclass
 
-# Permits are saved up for so long beyond a whole one. In any 4 s at most 4.125 times the limit and
-# one are handed out; who takes over from another begins with none, so both together stay under
-# 1.25 times 4 s of the limit and 3.
-SAVED_SECONDS = 0.125
+# Permits accumulate for this long beyond a whole one. At most 4.125 times the limit plus one are
+# issued in any 4 s. An issuer that takes over starts without a burst, so that both together stay
+# below 1.25 times 4 s of the limit, plus 3.
+BURST_SECONDS = 0.125
 
 
 @dataclass(frozen=True, slots=True)
 class Permit:
-    """One request to a life, to be sent between two moments; host is that of who handed it out,
-    "" for this instance.
-    """
+    """One request to a life, to be sent within a period; host: its issuer, "" for this instance."""
 
     life: int
     valid_from: float
@@ -26,31 +24,31 @@
 
 @dataclass(slots=True)
 class Pacer:
-    """Hands out permits at an even pace; due: when the next would be, were none saved up."""
+    """Issues permits at a constant rate; due: when the next is due without any burst."""
 
     due: float
 
     @classmethod
     def begin(cls, rate: float, now: float) -> "Pacer":
-        """A pace that has saved nothing up; rate in permits a second."""
+        """A pacer without a burst; rate in permits a second."""
         return cls(now + permit_interval(rate))
 
     def inherit(self, earlier: "Pacer", earlier_rate: float, rate: float, now: float) -> None:
-        """Take over what an earlier pace had handed out ahead of time, at its rate."""
+        """Take over the permits that an earlier pacer issued in advance, at its rate."""
         if earlier_rate > 0 and rate > 0:
             ahead = (earlier.due - now) * earlier_rate
             self.due = max(self.due, now + ahead * permit_interval(rate))
 
     def available_at(self, now: float) -> float:
-        """When the next permit can be had."""
-        return max(now, self.due - SAVED_SECONDS)
+        """When the next permit can be issued."""
+        return max(now, self.due - BURST_SECONDS)
 
     def issue(self, rate: float, at: float) -> None:
-        """Hand one out that is spent at a moment, or count one that was spent unasked."""
+        """Count a permit for a request at a time, also one sent without asking."""
         self.due = max(self.due, at) + permit_interval(rate)
 
     def release(self, rate: float) -> None:
-        """One that was handed out was not spent."""
+        """Take back an unused permit."""
         if rate > 0:
             self.due -= permit_interval(rate)
 
--- a/pondpin/upstream_limits.py
+++ b/pondpin/upstream_limits.py
@@ -1,4 +1,4 @@
-"""What an upstream takes from all instances together, by its own word, and which word counts.
+"""The request limit that an upstream reports for all instances together, and which report applies.
 
 Times are in seconds of the steady clock, limits in requests a second.
 """
@@ -12,21 +12,21 @@
 
 Life = TypeVar("Life", bound=Hashable)
 
-# Moments that a peer tells are dated by when its message is read, a few ms late; one word is proved
-# later than another by more than this.
-DATING_SECONDS = 0.05
-# How no limit is told in logs and to peers.
+# Times in a peer's message are converted when it is read, a few ms late: a report counts as later
+# than another only by more than this.
+TIMING_TOLERANCE_SECONDS = 0.05
+# Stands for no limit in logs and peer messages.
 NO_LIMIT = -1.0
-# A limit that no number holds binds nobody; it is told as this one.
-LARGEST_TOLD = 1e9
+# Larger limits, also infinite ones, have no effect and are sent as this.
+MAX_LIMIT_NUMBER = 1e9
 
 
 @dataclass(frozen=True, slots=True)
 class LimitReport:
-    """What an answer said of its upstream's limit; None: it named none, so none holds any more.
+    """The limit that a response reported for its upstream; None: no limit applies any more.
 
-    asked_at: when the request that it answers was sent, or a little before; heard_at: when its head
-    came.
+    request_sent_at: when the request was sent, or slightly earlier. received_at: when the response
+    head was received.
     """
 
     limit: float | None
@@ -36,71 +36,72 @@
 
 
 def parse_limit(values: Sequence[str]) -> tuple[float | None, str]:
-    """The limit that an answer names, None when it names none, and a value that is no limit.
+    """The limit in a response's headers, None for none, and an invalid value, or empty.
 
-    A decimal number of any length, as for a rest; of several, in one header or more, the lowest
-    counts, and sound ones count beside odd ones. 0 is a limit. Odd ones alone say nothing: neither
-    that there is a limit, nor that one that was named before holds no more.
+    A decimal number of any length, as for a rest. The lowest of several values applies, invalid
+    ones aside; 0 is a limit. Invalid values alone neither set a limit nor lift one.
     """
     limit: float | None = None
-    odd = ""
+    invalid = ""
     for part in (part.strip() for value in values for part in value.split(",")):
         if DECIMAL.fullmatch(part):
             limit = float(part) if limit is None else min(limit, float(part))
         else:
-            odd = part or "an empty value"
-    return limit, odd
+            invalid = part or "an empty value"
+    return limit, invalid
 
 
-def merge_reports(known: LimitReport | None, heard: LimitReport) -> LimitReport:
-    """Which of two words counts.
+def merge_reports(known: LimitReport | None, new: LimitReport) -> LimitReport:
+    """Which of two reports applies.
 
-    Heads come out of order: an answer that was asked for before the other word was heard may be the
-    earlier one. So only one that was asked for afterwards takes the other's place whatever it says;
-    where neither was, the lower limit counts.
+    Response heads arrive out of order: a report whose request was sent before the other report was
+    received may be the older one. So only a report whose request was sent after that replaces the
+    other whatever its limit; otherwise the lower limit applies.
     """
-    if known is None or heard.request_sent_at > known.received_at + DATING_SECONDS:
-        return heard
-    if known.limit == heard.limit:
-        asked_at = max(known.request_sent_at, heard.request_sent_at)
+    if known is None or new.request_sent_at > known.received_at + TIMING_TOLERANCE_SECONDS:
+        return new
+    if known.limit == new.limit:
+        request_sent_at = max(known.request_sent_at, new.request_sent_at)
         return replace(
-            known, request_sent_at=asked_at, received_at=max(known.received_at, heard.received_at)
+            known,
+            request_sent_at=request_sent_at,
+            received_at=max(known.received_at, new.received_at),
         )
-    if known.request_sent_at > heard.received_at + DATING_SECONDS or heard.limit is None:
+    if known.request_sent_at > new.received_at + TIMING_TOLERANCE_SECONDS or new.limit is None:
         return known
-    return heard if known.limit is None or heard.limit < known.limit else known
+    return new if known.limit is None or new.limit < known.limit else known
 
 
 def apply_limit(
-    standings: AvailabilityTable[Life], life: Life, word: LimitReport, now: float
+    table: AvailabilityTable[Life], life: Life, report: LimitReport, now: float
 ) -> bool:
-    """Take a word on a life's limit; True when that changes what it takes.
+    """Apply a report of a life's limit; True when the limit in force changes.
 
-    One that is lifted returns bit by bit, as after a rest: all that kept away would come at once.
+    A lifted limit begins a slow start: all requests that were held back would arrive at once.
     """
-    standings.any_limit_reported = standings.any_limit_reported or word.limit is not None
-    known = standings.by_life.get(life)
-    if word.limit is None and (known is None or known.limit is None):
+    table.any_limit_reported = table.any_limit_reported or report.limit is not None
+    known = table.by_life.get(life)
+    if report.limit is None and (known is None or known.limit is None):
         return False
-    standing = standings.get_or_create(life)
-    before = limit_number(standing.limit)
-    standing.limit = merge_reports(standing.limit, word)
-    standing.is_empty = False
-    if limit_number(standing.limit) == before:
+    availability = table.get_or_create(life)
+    before = limit_number(availability.limit)
+    availability.limit = merge_reports(availability.limit, report)
+    availability.is_empty = False
+    if limit_number(availability.limit) == before:
         return False
-    if standing.limit.limit is None:
-        _return_bit_by_bit(standing, now)
+    if availability.limit.limit is None:
+        _begin_slow_start(availability, now)
     return True
 
 
-def _return_bit_by_bit(standing: Availability, now: float) -> None:
-    """As at the end of a rest, but at once: it takes requests all the while."""
-    if standing.rest is None or standing.rest.until <= now:
-        standing.rest = Rest(now, now, now)
+def _begin_slow_start(availability: Availability, now: float) -> None:
+    """Begin a slow start without a rest before it: the upstream still accepts requests."""
+    if availability.rest is None or availability.rest.until <= now:
+        availability.rest = Rest(now, now, now)
 
 
-def limit_number(word: LimitReport | None) -> float:
+def limit_number(report: LimitReport | None) -> float:
     """A limit as a number for logs and messages."""
-    if word is None or word.limit is None:
+    if report is None or report.limit is None:
         return NO_LIMIT
-    return min(LARGEST_TOLD, word.limit)
+    return min(MAX_LIMIT_NUMBER, report.limit)
