--- a/pondpin/clocks.py
+++ b/pondpin/clocks.py
@@ -1,4 +1,4 @@
-"""The two clocks as types: seconds of the steady clock, and seconds since the epoch."""
+"""Types of the two clocks: seconds of the steady clock, and seconds since the epoch."""
 
 from collections.abc import Callable
 
--- a/pondpin/crash_monitor.py
+++ b/pondpin/crash_monitor.py
@@ -1,7 +1,7 @@
-"""Upstreams that end under a call of pondpin's own callers: who was there, and who may run.
+"""Detection of upstream crashes under calls of pondpin's own callers, and their quarantine.
 
-The decision is `pondpin.quarantine`'s, as for relayed requests. An upstream's life is its
-incarnation: a later one, or a refused connection, proves the end of the earlier one.
+`pondpin.quarantine` decides, as for relayed requests. An upstream's life is its incarnation: a
+later one, or a refused connection, proves that the earlier one has ended.
 """
 
 import asyncio
@@ -29,21 +29,21 @@
 from pondpin.quarantine_messages import decode_ends, encode_ends
 from pondpin.request_identity import format_identity
 
-# A call that broke off is remembered until the next life of its upstream has been polled.
+# A broken call is kept until a poll has shown the next life of its upstream.
 BROKEN_SECONDS = 10.0
-# A second try waits so long for the answer of a connection to the upstream that broke off.
-ANSWER_SECONDS = 0.06
-# A suspect that another instance runs is refused, and comes back in this time.
+# A retry waits for this long for a liveness check of the upstream whose call broke.
+LIVENESS_CHECK_SECONDS = 0.06
+# Retry-After of a suspect that is refused since another instance runs it.
 RETRY_SECONDS = 0.5
-# Ends that proved to say nothing are told for so long: several heartbeats reach every peer.
-CLEARED_SECONDS = 5.0
-# Ends that a heartbeat carries, 30 bytes each: those of the requests with the most.
-MOST_TOLD = 32
+# Void ends are sent for this long: several heartbeats reach every peer.
+VOID_BROADCAST_SECONDS = 5.0
+# Ends in a heartbeat, 30 bytes each: those of the requests with the most ends.
+MAX_SENT_ENDS = 32
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
-    """A call that broke off at an incarnation of an upstream."""
+class BrokenCall:
+    """A call that broke at an incarnation of an upstream."""
 
     identity: int
     state: UpstreamState
@@ -52,7 +52,7 @@
 
     @property
     def life(self) -> int:
-        """A number for that life, the same at every instance."""
+        """ID of the life, the same on every instance."""
         return xxhash.xxh64_intdigest(f"{self.state.name}@{self.incarnation}".encode())
 
 
@@ -63,119 +63,119 @@
         self,
         instance: str,
         fleet: Fleet,
-        reach: Callable[[str, int], Awaitable[ConnectOutcome]],
-        turn: TrialRank,
-        spread: Callable[[], None],
+        try_connect: Callable[[str, int], Awaitable[ConnectOutcome]],
+        trial_rank: TrialRank,
+        broadcast: Callable[[], None],
         clock: Clock,
     ) -> None:
         self.quarantine = Quarantine()
         self._instance = instance
         self._fleet = fleet
-        self._reach = reach
-        self._turn = turn
-        self._spread = spread
+        self._try_connect = try_connect
+        self._trial_rank = trial_rank
+        self._broadcast = broadcast
         self._clock = clock
-        self._broken: list[Broken] = []
-        # Ends that say nothing, and when that was found.
-        self._cleared: list[tuple[float, NamedEnd]] = []
+        self._broken_calls: list[BrokenCall] = []
+        # Void ends, and when they were found to be void.
+        self._voided: list[tuple[float, NamedEnd]] = []
 
     def assess(self, identity: int) -> Assessment:
-        """The verdict on a request now."""
-        around = AssessmentContext(
-            upstream_count=len(self._fleet.by_name), trial_rank=self._turn(identity)
+        """Assess a request now."""
+        context = AssessmentContext(
+            upstream_count=len(self._fleet.by_name), trial_rank=self._trial_rank(identity)
         )
-        return self.quarantine.assess(identity, self._clock(), around)
+        return self.quarantine.assess(identity, self._clock(), context)
 
     def admit(self, identity: int) -> Assessment:
-        """Let a request through to placement, or raise PondpinError."""
+        """Admit a request to placement, or raise PondpinError."""
         now = self._clock()
-        judgement = self.assess(identity)
-        told = f"{len(judgement.ends)} upstreams ended while it ran there"
-        if judgement.verdict is Verdict.QUARANTINED:
-            left = max(RETRY_SECONDS, judgement.until - now)
-            raise PondpinError(Code.QUARANTINED, told, retry_after=left)
-        is_suspect = judgement.verdict is Verdict.SUSPECTED
+        assessment = self.assess(identity)
+        detail = f"{len(assessment.ends)} upstreams ended while it ran there"
+        if assessment.verdict is Verdict.QUARANTINED:
+            wait = max(RETRY_SECONDS, assessment.until - now)
+            raise PondpinError(Code.QUARANTINED, detail, retry_after=wait)
+        is_suspect = assessment.verdict is Verdict.SUSPECTED
         if is_suspect and self.quarantine.is_running(identity, now):
-            raise PondpinError(Code.SUSPECTED, told, retry_after=RETRY_SECONDS)
-        return judgement
+            raise PondpinError(Code.SUSPECTED, detail, retry_after=RETRY_SECONDS)
+        return assessment
 
     def begin_run(self, identity: int) -> None:
-        """A suspect is about to run."""
+        """Record that a suspect is about to run."""
         self.quarantine.begin_run(identity, self._instance, 0, self._clock())
 
     def end_run(self, identity: int) -> None:
-        """Its run is over."""
+        """Record the end of the run."""
         self.quarantine.end_run(identity, self._instance)
 
     def allows_retry(self, identity: int) -> bool:
-        """Whether another upstream may follow one that broke off."""
-        judgement = self.assess(identity)
-        if judgement.verdict is Verdict.FREE:
+        """Whether a broken call may be retried at another upstream."""
+        assessment = self.assess(identity)
+        if assessment.verdict is Verdict.FREE:
             return True
-        return judgement.verdict is Verdict.SUSPECTED and judgement.allows_retry
+        return assessment.verdict is Verdict.SUSPECTED and assessment.allows_retry
 
     def record_success(self, identity: int) -> None:
-        """A request ended whole."""
-        self._tell_cleared(self.quarantine.record_success(identity, self._clock()))
+        """A request completed."""
+        self._broadcast_voided(self.quarantine.record_success(identity, self._clock()))
 
-    def _tell_cleared(self, ends: Iterable[NamedEnd]) -> None:
+    def _broadcast_voided(self, ends: Iterable[NamedEnd]) -> None:
         now = self._clock()
         found = [(now, item) for item in ends]
         if found:
-            self._cleared += found
-            self._spread()
+            self._voided += found
+            self._broadcast()
 
     async def check_liveness(self, identity: int, states: Iterable[UpstreamState]) -> None:
-        """A call broke off: find out whether an upstream's life has ended."""
+        """A call broke: check whether the upstream's life has ended."""
         now = self._clock()
-        staying = [state for state in states if not state.leaving]
-        broken = [Broken(identity, state, state.incarnation, now) for state in staying]
-        self._broken += broken
-        looks = [asyncio.ensure_future(self._look(item)) for item in broken]
-        if looks:
-            await asyncio.wait(looks, timeout=ANSWER_SECONDS)
-
-    async def _look(self, broken: Broken) -> None:
-        place = parse_endpoint(broken.state.upstream.address)
-        if await self._reach(place.host, place.port) is ConnectOutcome.REFUSED:
-            self._note_end(broken)
-
-    def _note_end(self, broken: Broken) -> None:
-        if broken not in self._broken:
+        not_leaving = [state for state in states if not state.leaving]
+        broken = [BrokenCall(identity, state, state.incarnation, now) for state in not_leaving]
+        self._broken_calls += broken
+        checks = [asyncio.ensure_future(self._check(item)) for item in broken]
+        if checks:
+            await asyncio.wait(checks, timeout=LIVENESS_CHECK_SECONDS)
+
+    async def _check(self, broken: BrokenCall) -> None:
+        endpoint = parse_endpoint(broken.state.upstream.address)
+        if await self._try_connect(endpoint.host, endpoint.port) is ConnectOutcome.REFUSED:
+            self._record_end(broken)
+
+    def _record_end(self, broken: BrokenCall) -> None:
+        if broken not in self._broken_calls:
             return
-        self._broken.remove(broken)
+        self._broken_calls.remove(broken)
         end = LifeEnd(broken.life, broken.at, source=self._instance)
         if not self.quarantine.record_end(broken.identity, end):
             return
-        judgement = self.assess(broken.identity)
+        assessment = self.assess(broken.identity)
         logging.info(
             "upstream %s ended under request %s: %s, %d ends",
             broken.state.name,
             format_identity(broken.identity),
-            judgement.verdict.value,
-            len(judgement.ends),
+            assessment.verdict.value,
+            len(assessment.ends),
         )
-        self._spread()
+        self._broadcast()
 
     def refresh(self) -> None:
-        """See which upstreams live anew, and forget what lapsed."""
+        """Record the ends of upstreams that restarted, and remove what has expired."""
         now = self._clock()
-        for broken in list(self._broken):
+        for broken in list(self._broken_calls):
             if broken.state.incarnation != broken.incarnation:
-                self._note_end(broken)
-        self._broken = [item for item in self._broken if now - item.at < BROKEN_SECONDS]
+                self._record_end(broken)
+        self._broken_calls = [item for item in self._broken_calls if now - item.at < BROKEN_SECONDS]
         self.quarantine.prune(now)
 
     def heartbeat_payload(self) -> bytes:
-        """What a heartbeat carries."""
+        """The ends for the next heartbeat."""
         now = self._clock()
-        self._cleared = [item for item in self._cleared if now - item[0] < CLEARED_SECONDS]
-        cleared = [end for _, end in self._cleared[-MOST_TOLD:]]
-        return encode_ends((*self.quarantine.top_ends(MOST_TOLD), *cleared), now)
+        self._voided = [item for item in self._voided if now - item[0] < VOID_BROADCAST_SECONDS]
+        voided = [end for _, end in self._voided[-MAX_SENT_ENDS:]]
+        return encode_ends((*self.quarantine.top_ends(MAX_SENT_ENDS), *voided), now)
 
     def apply_payload(self, source: str, data: bytes) -> None:
-        """Take what a peer's heartbeat carried."""
+        """Merge the ends of a peer's heartbeat."""
         now = self._clock()
         ends = decode_ends(data, source, now)
-        # What the peer believes and is void here.
-        self._tell_cleared(self.quarantine.merge_ends(ends, now))
+        # Ends that the peer counts and that are void here.
+        self._broadcast_voided(self.quarantine.merge_ends(ends, now))
--- a/pondpin/health.py
+++ b/pondpin/health.py
@@ -1,4 +1,4 @@
-"""Ejection of upstreams that fail, decided on frozen records; a pool is never emptied."""
+"""Ejection of failing upstreams as pure functions on frozen records; a pool is never emptied."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
@@ -11,19 +11,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Health:
-    """Failures in a row, how often ejected, and until when, in seconds."""
+    """Consecutive failures, count of ejections, and end of the last one in seconds."""
 
     failures: int = 0
     ejections: int = 0
     ejected_until: float = 0.0
 
     def is_ejected(self, now: float) -> bool:
-        """Whether no new work should go there."""
+        """Whether no new requests should be sent there."""
         return now < self.ejected_until
 
 
 def record_success(health: Health, now: float) -> Health:
-    """A call or poll succeeded: failures are forgotten, and past ejections halve."""
+    """A call or poll succeeded: reset the failures, and halve the count of ejections."""
     if health.failures == 0 and health.ejections == 0:
         return health
     if health.is_ejected(now):
@@ -32,7 +32,7 @@
 
 
 def record_failure(health: Health, now: float, certain: bool = False) -> Health:
-    """A call or poll failed; certain means that the upstream refused the connection."""
+    """A call or poll failed; certain: the upstream refused the connection."""
     failures = health.failures + (FAILURES_TO_EJECT if certain else 1)
     if failures < FAILURES_TO_EJECT or health.is_ejected(now):
         return replace(health, failures=failures)
@@ -41,12 +41,12 @@
 
 
 def usable_names(names: Sequence[str], health_by_name: dict[str, Health], now: float) -> list[str]:
-    """The names that may get work: when over half are ejected, ejection is ignored.
+    """The names that may get requests; ejection is ignored when over half are ejected.
 
-    So many failing at once points to the network or to this instance, not to them.
+    So many concurrent failures point to the network or to this instance, not to the upstreams.
     """
-    fresh = [name for name in names if not health_by_name.get(name, Health()).is_ejected(now)]
-    ejected = len(names) - len(fresh)
-    if fresh and ejected <= MAX_EJECTED_SHARE * len(names):
-        return fresh
-    return fresh or list(names)
+    not_ejected = [name for name in names if not health_by_name.get(name, Health()).is_ejected(now)]
+    ejected = len(names) - len(not_ejected)
+    if not_ejected and ejected <= MAX_EJECTED_SHARE * len(names):
+        return not_ejected
+    return not_ejected or list(names)
--- a/pondpin/quarantine.py
+++ b/pondpin/quarantine.py
@@ -1,22 +1,24 @@
-"""Requests that end the workers which run them: what proves it, and whether one may run.
+"""Quarantine of deadly requests, which crash the upstreams that run them.
 
-Each life of an upstream that ended while a request was there counts once against that request,
-whoever saw it. One end makes it suspect: it runs at one upstream at a time, apart from others.
-Three quarantine it: it runs nowhere for a while, then one try at a time, each later than the last.
+An end is an upstream life that ended while it ran a request. It counts once against the request,
+whichever instance observed it. One end makes the request suspected: it runs at one upstream at a
+time, isolated from others. Three quarantine it: it runs nowhere for a period, then in single
+trials, each after a longer period.
 
-Most requests that were there are innocent, so an end does not count against a request
+Most requests that an upstream was running when it ended are innocent, so an end does not count
+against a request
 
-- that had been answered there for a while or was still being read, when another had just begun;
-- that shares the end with a request which is known from more ends: those explain it;
+- that had been answered there for a while or was in its prefill, when another had just begun;
+- that shares the end with a request that has more ends: those explain it;
 - when many other lives ended at the same time, as in the loss of a rack or of a service's power;
-- that has ended whole at some upstream lately, or does so later.
+- that has completed at some upstream recently, or does so later.
 
-Ends of requests that had not just begun make nobody suspect, whoever else was there; three of them
-quarantine all the same.
+Ends of requests that had not just begun never make a request suspected; three of them quarantine it
+nevertheless.
 
-What is known is a set of ends, each named by request and life, which only ever gains marks. So
-instances can join their sets in any order, and no end counts twice. All times are by the steady
-clock; every decision takes the present time.
+The state is a set of ends with the key (request, life), whose flags are only ever set. So instances
+can merge their sets in any order, and no end counts twice. All times are of the steady clock; every
+decision takes the current time.
 """
 
 import enum
@@ -28,38 +30,37 @@
 
 # The platform calls a request deadly from its third end on.
 ENDS_TO_QUARANTINE = 3
-# Fewer ends are forgotten after this: a worker crashes by itself every few minutes at worst.
+# Fewer ends expire after this: an upstream crashes by itself every few minutes at worst.
 SUSPICION_SECONDS = 600.0
-# The first quarantine; each further end doubles it. It is many times a worker's return (3 s), so
-# that one deadly request takes one worker a minute at most.
+# The first quarantine; each further end doubles it. It is many times an upstream's restart (3 s),
+# so that a deadly request ends at most one upstream a minute.
 QUARANTINE_SECONDS = 60.0
 MAX_QUARANTINE_SECONDS = 3600.0
-# When a quarantine is over the instances may try in turn, this far apart, so that one that ends
-# its worker has told the others before the next one's turn comes.
+# After a quarantine the instances may run trials one after the other, at this interval, so that a
+# trial that ends its upstream has been broadcast before the next.
 TRIAL_INTERVAL_SECONDS = 5.0
-# Lives of a rack or a service that lose power go within this of one another; a deadly request needs
-# 0.1 s and more from one to the next.
-CROWD_SECONDS = 0.35
-# So many other lives, or this share of the service's, are no coincidence.
+# Lives of a rack or a service that loses power end within this time; a deadly request takes 0.1 s
+# and more from one upstream to the next.
+CORRELATED_SECONDS = 0.35
+# More other lives than this, and than this share of the service's, are a common failure.
 CORRELATED_LIVES = 2
-CROWD_SHARE = 0.25
-# A request that ended whole is no suspect for so long. Workers' software may change meanwhile.
+CORRELATED_SHARE = 0.25
+# A completed request can't be suspected for this long; upstreams' software may change afterwards.
 SUCCESS_SECONDS = 30.0
-# A run of a suspect that was told and whose end was not: its instance is gone.
+# After this the instance that reported a suspect's run without its end counts as gone.
 RUN_TIMEOUT_SECONDS = 2.0
-# A suspect's next run waits until this long after its last end: by then every instance has told
-# where it sent what it had there.
+# A suspect's next run waits for this long after its last end: by then every instance has reported
+# the requests that it had there.
 SETTLE_SECONDS = 0.06
-# Others keep off a suspect's upstream for so long: a deadly one ends it within 0.2 s of being sent.
+# Other requests avoid a suspect's upstream for this long: a deadly request ends it within 0.2 s.
 AVOID_SECONDS = 0.5
-# An end that proved to say nothing is remembered, so that a peer's older word doesn't bring it
-# back.
+# A void end is kept for this long, so that a peer's older report doesn't restore it.
 VOID_RETENTION_SECONDS = 60.0
-# Bounds of memory: 0.3 kB a suspect, 0.1 kB a good request. Void ones go first, then those with the
-# fewest ends, then the oldest.
+# Memory bounds: 0.3 kB a suspect, 0.1 kB a completed request. Evicted first are suspects with the
+# fewest ends that are not void, then the oldest; of one suspect's ends void ones, then the oldest.
 MAX_SUSPECTS = 1000
 MAX_ENDS = 12
-MOST_GOOD = 4096
+MAX_SUCCESSES = 4096
 
 
 class Verdict(enum.Enum):
@@ -74,9 +75,9 @@
 class LifeEnd:
     """A life of an upstream ended while a request was there.
 
-    release: a number for the software that ran there, 0 when not known. unlikely: the request had
-    not just begun to run: it had been answered there for a while, or was still being read. void: it
-    says nothing after all. settled: the list agrees that the life has ended. source: who saw it.
+    release: ID of the software that ran there, 0 if unknown. unlikely: the request had not just
+    begun to run: it had been answered there for a while, or was in its prefill. void: it does not
+    count. settled: the upstream list confirms the end, or it is void. source: the observer.
     """
 
     life: int
@@ -88,7 +89,7 @@
     source: str = ""
 
     def merge(self, other: "LifeEnd") -> "LifeEnd":
-        """What two words on one end say together."""
+        """Combine two reports of the same end."""
         return replace(
             self,
             at=min(self.at, other.at),
@@ -103,7 +104,7 @@
 class Assessment:
     """A verdict with the ends that count; until: when a quarantine is over.
 
-    spent_releases: software that the request has ended; only other one may try it.
+    failed_releases: software that the request has crashed; a trial needs other software.
     """
 
     verdict: Verdict
@@ -113,12 +114,12 @@
 
     @property
     def earliest_run_at(self) -> float:
-        """From when on a suspect may run."""
+        """Before this a suspect may not run."""
         return self.ends[-1].at + SETTLE_SECONDS if self.ends else 0.0
 
     @property
     def allows_retry(self) -> bool:
-        """Whether a second upstream may follow one that ended: only after the first end of all."""
+        """Whether another upstream may be tried: only after the request's first end."""
         return len(self.ends) <= 1
 
 
@@ -127,10 +128,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AssessmentContext:
-    """What a verdict depends on beside the ends.
+    """What a verdict depends on besides the ends.
 
-    lives: upstreams of the request's service. releases: the software that they run. turn: how many
-    instances come before this one when a quarantine is over.
+    upstream_count: of the request's service. releases: software of these. trial_rank: how many
+    instances may run trials before this one after a quarantine.
     """
 
     upstream_count: int = 0
@@ -139,17 +140,17 @@
 
 
 def quarantine_seconds(ends: int) -> float:
-    """How long a request with so many ends runs nowhere."""
+    """Length of the quarantine of a request, by its number of ends."""
     further = ends - ENDS_TO_QUARANTINE
     return float(min(MAX_QUARANTINE_SECONDS, QUARANTINE_SECONDS * 2**further))
 
 
 @dataclass(frozen=True, slots=True)
 class SuspectRun:
-    """An instance runs a suspect on the life of an upstream since a moment."""
+    """A run of a suspect at an upstream's life since a time."""
 
     life: int
-    began: float
+    started_at: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -162,83 +163,83 @@
 
 @dataclass
 class Quarantine:
-    """The ends that this instance knows of, and which suspects run at the moment."""
+    """The known ends, and the suspects that are running now."""
 
     ends_by_identity: dict[int, dict[int, LifeEnd]] = field(default_factory=dict)
     identities_by_life: dict[int, set[int]] = field(default_factory=dict)
-    good_at_by_identity: OrderedDict[int, float] = field(default_factory=OrderedDict)
+    succeeded_at_by_identity: OrderedDict[int, float] = field(default_factory=OrderedDict)
     runs_by_identity: dict[int, dict[str, SuspectRun]] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Set up the tag, which is worked out when it is asked for."""
-        self._tag: int | None = 0
+        """Set up the fingerprint, which is computed on request."""
+        self._fingerprint: int | None = 0
 
     def record_end(self, identity: int, end: LifeEnd) -> bool:
-        """Take an end that this instance saw; True when it is news that others need."""
-        good_at = self.good_at_by_identity.get(identity)
-        if good_at is not None and end.at - good_at < SUCCESS_SECONDS:
+        """Record an end that this instance observed; True when it must be broadcast."""
+        succeeded_at = self.succeeded_at_by_identity.get(identity)
+        if succeeded_at is not None and end.at - succeeded_at < SUCCESS_SECONDS:
             return False
-        return self._join(identity, end)
+        return self._merge_end(identity, end)
 
-    def merge_ends(self, told: Iterable[NamedEnd], now: float) -> tuple[NamedEnd, ...]:
-        """Take what a peer told; returns what it should know better: ends that are void here."""
+    def merge_ends(self, reports: Iterable[NamedEnd], now: float) -> tuple[NamedEnd, ...]:
+        """Merge a peer's ends; returns those that are void here, for the peer."""
         better = []
-        for item in told:
-            if now >= _forget_at(len(self._standing(item.identity)) + 1, item.end):
+        for item in reports:
+            if now >= _expires_at(len(self._valid_ends(item.identity)) + 1, item.end):
                 continue
             known = self.ends_by_identity.get(item.identity, {}).get(item.end.life)
             if known is not None and known.void and not item.end.void:
                 better.append(NamedEnd(item.identity, known))
-            self._join(item.identity, item.end)
+            self._merge_end(item.identity, item.end)
         return tuple(better)
 
-    def _join(self, identity: int, end: LifeEnd) -> bool:
+    def _merge_end(self, identity: int, end: LifeEnd) -> bool:
         ends = self.ends_by_identity.setdefault(identity, {})
         known = ends.get(end.life)
-        joined = end if known is None else known.merge(end)
-        if joined == known:
+        merged = end if known is None else known.merge(end)
+        if merged == known:
             return False
-        ends[end.life] = joined
+        ends[end.life] = merged
         self.identities_by_life.setdefault(end.life, set()).add(identity)
-        self._tag = None
-        self._bound(identity)
-        return known is None or known.void != joined.void
+        self._fingerprint = None
+        self._evict(identity)
+        return known is None or known.void != merged.void
 
-    def _bound(self, identity: int) -> None:
+    def _evict(self, identity: int) -> None:
         ends = self.ends_by_identity[identity]
         if len(ends) > MAX_ENDS:
-            self._drop(identity, min(ends.values(), key=lambda end: (not end.void, end.at)))
+            self._remove_end(identity, min(ends.values(), key=lambda end: (not end.void, end.at)))
         if len(self.ends_by_identity) > MAX_SUSPECTS:
-            self._forget(min(self.ends_by_identity, key=self._weight))
+            self._remove(min(self.ends_by_identity, key=self._eviction_key))
 
-    def _weight(self, identity: int) -> tuple[int, float]:
-        """What goes first when there are too many: the least."""
+    def _eviction_key(self, identity: int) -> tuple[int, float]:
+        """Eviction order: the lowest first."""
         latest = max(end.at for end in self.ends_by_identity[identity].values())
-        return len(self._standing(identity)), latest
+        return len(self._valid_ends(identity)), latest
 
     def record_success(self, identity: int, now: float) -> tuple[NamedEnd, ...]:
-        """A request ended whole: its ends say nothing; returns those that were believed to."""
-        self.good_at_by_identity[identity] = now
-        self.good_at_by_identity.move_to_end(identity)
-        if len(self.good_at_by_identity) > MOST_GOOD:
-            self.good_at_by_identity.popitem(last=False)
+        """A request completed: void its ends; returns those that were not void before."""
+        self.succeeded_at_by_identity[identity] = now
+        self.succeeded_at_by_identity.move_to_end(identity)
+        if len(self.succeeded_at_by_identity) > MAX_SUCCESSES:
+            self.succeeded_at_by_identity.popitem(last=False)
         return self.clear(identity)
 
     def clear(self, identity: int) -> tuple[NamedEnd, ...]:
-        """All ends of a request say nothing; returns those that were believed to."""
-        standing = self._standing(identity)
-        return tuple(self.settle(identity, end.life, void=True) for end in standing)
+        """Void all ends of a request; returns those that were not void before."""
+        valid = self._valid_ends(identity)
+        return tuple(self.settle(identity, end.life, void=True) for end in valid)
 
     def settle(self, identity: int, life: int, void: bool = False) -> NamedEnd:
-        """An end is settled: the list agrees, or it is void."""
+        """Mark an end as settled: the upstream list confirms it, or it is void."""
         known = self.ends_by_identity[identity][life]
-        marked = replace(known, void=known.void or void, settled=True)
-        self.ends_by_identity[identity][life] = marked
-        self._tag = None
-        return NamedEnd(identity, marked)
+        settled_end = replace(known, void=known.void or void, settled=True)
+        self.ends_by_identity[identity][life] = settled_end
+        self._fingerprint = None
+        return NamedEnd(identity, settled_end)
 
     def unsettled(self) -> tuple[NamedEnd, ...]:
-        """Ends that nothing but a refused connection speaks for."""
+        """Ends whose only evidence is a refused connection."""
         return tuple(
             NamedEnd(identity, end)
             for identity, ends in self.ends_by_identity.items()
@@ -246,167 +247,169 @@
             if not end.settled and not end.void
         )
 
-    def assess(self, identity: int, now: float, around: AssessmentContext) -> Assessment:
+    def assess(self, identity: int, now: float, context: AssessmentContext) -> Assessment:
         """Whether a request may run now."""
-        ends = self._counted(identity, around.upstream_count)
+        ends = self._counted_ends(identity, context.upstream_count)
         if not ends:
             return FREE
         if len(ends) < ENDS_TO_QUARANTINE:
             likely = [end for end in ends if not end.unlikely]
             is_fresh = now - ends[-1].at < SUSPICION_SECONDS
             return Assessment(Verdict.SUSPECTED, ends) if likely and is_fresh else FREE
-        return _judge_proved(ends, now, around)
+        return _assess_quarantined(ends, now, context)
 
-    def _counted(self, identity: int, lives: int) -> tuple[LifeEnd, ...]:
-        """The ends that count against a request, by their time."""
-        standing = self._standing(identity)
-        own = {end.life for end in standing}
+    def _counted_ends(self, identity: int, upstream_count: int) -> tuple[LifeEnd, ...]:
+        """The ends that count against a request, in order of time."""
+        valid = self._valid_ends(identity)
+        own = {end.life for end in valid}
         counted = [
             end
-            for end in standing
-            if not self._is_explained(identity, end, len(standing))
-            and not self._is_in_crowd(end, own, lives)
+            for end in valid
+            if not self._is_explained(identity, end, len(valid))
+            and not self._is_correlated(end, own, upstream_count)
         ]
         return tuple(sorted(counted, key=lambda end: end.at))
 
     def _is_explained(self, identity: int, end: LifeEnd, own_ends: int) -> bool:
-        """Whether another request that was there is the better suspect."""
+        """Whether another request that ran there is the more likely cause."""
         for other in self.identities_by_life.get(end.life, set()) - {identity}:
-            theirs = self.ends_by_identity[other].get(end.life)
-            if theirs is None or theirs.void:
+            other_end = self.ends_by_identity[other].get(end.life)
+            if other_end is None or other_end.void:
                 continue
-            if end.unlikely and not theirs.unlikely:
+            if end.unlikely and not other_end.unlikely:
                 return True
-            if not theirs.unlikely and len(self._standing(other)) > own_ends:
+            if not other_end.unlikely and len(self._valid_ends(other)) > own_ends:
                 return True
         return False
 
-    def _is_in_crowd(self, end: LifeEnd, own: set[int], lives: int) -> bool:
-        """Whether many lives that the request did not run on ended at the same time."""
-        limit = max(CORRELATED_LIVES, CROWD_SHARE * lives)
+    def _is_correlated(self, end: LifeEnd, own: set[int], upstream_count: int) -> bool:
+        """Whether many lives that did not run the request ended at the same time."""
+        limit = max(CORRELATED_LIVES, CORRELATED_SHARE * upstream_count)
         others = 0
         for life, identities in self.identities_by_life.items():
-            if life not in own and self._ended_with(life, identities, end.at):
+            if life not in own and self._ended_near(life, identities, end.at):
                 others += 1
         return others > limit
 
-    def _ended_with(self, life: int, identities: Iterable[int], at: float) -> bool:
-        """Whether a life ended about then and no deadly request was there."""
-        near = False
+    def _ended_near(self, life: int, identities: Iterable[int], at: float) -> bool:
+        """Whether a life ended about then without running a deadly request."""
+        is_near = False
         for identity in identities:
-            theirs = self.ends_by_identity[identity][life]
-            if len(self._standing(identity)) >= ENDS_TO_QUARANTINE:
+            other_end = self.ends_by_identity[identity][life]
+            if len(self._valid_ends(identity)) >= ENDS_TO_QUARANTINE:
                 return False
-            near = near or abs(theirs.at - at) <= CROWD_SECONDS
-        return near
+            is_near = is_near or abs(other_end.at - at) <= CORRELATED_SECONDS
+        return is_near
 
-    def _standing(self, identity: int) -> list[LifeEnd]:
+    def _valid_ends(self, identity: int) -> list[LifeEnd]:
         ends = self.ends_by_identity.get(identity, {})
         return [end for end in ends.values() if not end.void]
 
     def begin_run(self, identity: int, instance: str, life: int, now: float) -> None:
-        """An instance runs a suspect; being told so again changes nothing."""
+        """Record an instance's run of a suspect; idempotent."""
         runs = self.runs_by_identity.setdefault(identity, {})
         known = runs.get(instance)
         if known is None or known.life != life:
             runs[instance] = SuspectRun(life, now)
 
     def end_run(self, identity: int, instance: str) -> None:
-        """Its run is over."""
+        """Remove the run that ended."""
         runs = self.runs_by_identity.get(identity, {})
         runs.pop(instance, None)
         if not runs:
             self.runs_by_identity.pop(identity, None)
 
     def is_running(self, identity: int, now: float) -> bool:
-        """Whether a suspect runs anywhere."""
+        """Whether any instance runs a suspect."""
         runs = self.runs_by_identity.get(identity, {}).values()
-        return any(now - run.began < RUN_TIMEOUT_SECONDS for run in runs)
+        return any(now - run.started_at < RUN_TIMEOUT_SECONDS for run in runs)
 
     def avoided_lives(self, now: float) -> frozenset[int]:
-        """Lives of upstreams that may end in a moment: a suspect has just been sent there."""
+        """Lives that a suspect was just sent to, and that may therefore end."""
         return frozenset(
             run.life
             for runs in self.runs_by_identity.values()
             for run in runs.values()
-            if now - run.began < AVOID_SECONDS
+            if now - run.started_at < AVOID_SECONDS
         )
 
     def prune(self, now: float) -> None:
-        """Forget what lapsed."""
+        """Remove expired ends and runs."""
         for identity, ends in list(self.ends_by_identity.items()):
-            standing = len(self._standing(identity))
+            valid_count = len(self._valid_ends(identity))
             latest = max(ends.values(), key=lambda end: end.at)
-            if now >= _forget_at(standing, latest):
-                self._forget(identity)
+            if now >= _expires_at(valid_count, latest):
+                self._remove(identity)
         for identity, runs in list(self.runs_by_identity.items()):
             for instance, run in list(runs.items()):
-                if now - run.began >= RUN_TIMEOUT_SECONDS:
+                if now - run.started_at >= RUN_TIMEOUT_SECONDS:
                     self.end_run(identity, instance)
 
-    def _forget(self, identity: int) -> None:
+    def _remove(self, identity: int) -> None:
         for end in list(self.ends_by_identity[identity].values()):
-            self._drop(identity, end)
+            self._remove_end(identity, end)
         del self.ends_by_identity[identity]
 
-    def _drop(self, identity: int, end: LifeEnd) -> None:
+    def _remove_end(self, identity: int, end: LifeEnd) -> None:
         del self.ends_by_identity[identity][end.life]
-        there = self.identities_by_life[end.life]
-        there.discard(identity)
-        if not there:
+        identities = self.identities_by_life[end.life]
+        identities.discard(identity)
+        if not identities:
             del self.identities_by_life[end.life]
-        self._tag = None
+        self._fingerprint = None
 
-    def top_ends(self, most: int) -> tuple[NamedEnd, ...]:
-        """The ends that others need most: of the requests with most ends, the newest."""
-        ordered = sorted(self.ends_by_identity, key=self._weight, reverse=True)
+    def top_ends(self, limit: int) -> tuple[NamedEnd, ...]:
+        """The ends to report first: of the requests with most ends, then of the latest."""
+        ordered = sorted(self.ends_by_identity, key=self._eviction_key, reverse=True)
         found = (
-            NamedEnd(identity, end) for identity in ordered for end in self._standing(identity)
+            NamedEnd(identity, end) for identity in ordered for end in self._valid_ends(identity)
         )
-        return tuple(item for item, _ in zip(found, range(most), strict=False))
+        return tuple(item for item, _ in zip(found, range(limit), strict=False))
 
     @property
     def fingerprint(self) -> int:
-        """A number that is alike where the same ends are believed; 0 where there are none."""
-        if self._tag is None:
+        """Hash of the ends that are not void, equal for equal sets; 0 for none."""
+        if self._fingerprint is None:
             names = sorted(
                 f"{identity}@{end.life}"
                 for identity in self.ends_by_identity
-                for end in self._standing(identity)
+                for end in self._valid_ends(identity)
             )
-            self._tag = xxhash.xxh64_intdigest(",".join(names).encode()) if names else 0
-        return self._tag
+            self._fingerprint = xxhash.xxh64_intdigest(",".join(names).encode()) if names else 0
+        return self._fingerprint
 
 
-def _judge_proved(ends: tuple[LifeEnd, ...], now: float, around: AssessmentContext) -> Assessment:
-    """A request with ends enough: it waits, or is tried once more."""
+def _assess_quarantined(
+    ends: tuple[LifeEnd, ...], now: float, context: AssessmentContext
+) -> Assessment:
+    """Assess a request with enough ends for a quarantine: it waits, or gets a trial."""
     until = ends[-1].at + quarantine_seconds(len(ends))
-    if now >= until + around.trial_rank * TRIAL_INTERVAL_SECONDS:
+    if now >= until + context.trial_rank * TRIAL_INTERVAL_SECONDS:
         return Assessment(Verdict.SUSPECTED, ends, until)
-    spent = frozenset(end.release for end in ends)
-    if around.trial_rank == 0 and 0 not in spent and around.releases - spent:
-        # New software may have no trouble with it: one instance tries it there.
-        return Assessment(Verdict.SUSPECTED, ends, until, spent)
+    failed = frozenset(end.release for end in ends)
+    if context.trial_rank == 0 and 0 not in failed and context.releases - failed:
+        # New software may handle the request: one instance runs a trial there.
+        return Assessment(Verdict.SUSPECTED, ends, until, failed)
     return Assessment(Verdict.QUARANTINED, ends, until)
 
 
-def _forget_at(standing: int, latest: LifeEnd) -> float:
-    """When a request is forgotten: after twice its quarantine, or once all its ends are void."""
-    if not standing:
+def _expires_at(valid_count: int, latest: LifeEnd) -> float:
+    """When a request expires: a while after twice its quarantine; sooner with few or void ends."""
+    if not valid_count:
         return latest.at + VOID_RETENTION_SECONDS
-    if standing < ENDS_TO_QUARANTINE:
+    if valid_count < ENDS_TO_QUARANTINE:
         return latest.at + SUSPICION_SECONDS
-    return latest.at + 2 * quarantine_seconds(standing) + SUSPICION_SECONDS
+    return latest.at + 2 * quarantine_seconds(valid_count) + SUSPICION_SECONDS
 
 
 TrialRank = Callable[[int], int]
 
 
 def compute_trial_rank(identity: int, instance: str, peers: Iterable[str]) -> int:
-    """How many live peers come before an instance in an order that differs by request."""
-    own = _place(identity, instance)
-    return sum(_place(identity, peer) < own for peer in peers)
+    """How many live peers precede an instance in a pseudo-random order by request."""
+    own = _rank_hash(identity, instance)
+    return sum(_rank_hash(identity, peer) < own for peer in peers)
 
 
-def _place(identity: int, instance: str) -> int:
+def _rank_hash(identity: int, instance: str) -> int:
     return xxhash.xxh64_intdigest(f"{identity}/{instance}".encode())
--- a/pondpin/quarantine_messages.py
+++ b/pondpin/quarantine_messages.py
@@ -1,4 +1,4 @@
-"""Ends of upstream lives as instances tell each other of them."""
+"""Encoding of upstreams' ends for messages between instances."""
 
 from collections.abc import Iterable, Sequence
 
@@ -10,7 +10,7 @@
 
 
 class EndReport(msgspec.Struct, frozen=True, array_like=True):
-    """An end; age is in ms. See LifeEnd."""
+    """A LifeEnd; age is in ms."""
 
     identity: int
     life: int
@@ -26,38 +26,38 @@
 
 
 def build_report(item: NamedEnd, now: float) -> EndReport:
-    """An end as it is told; its age is never told too small."""
+    """The report of an end; its age is rounded up."""
     end = item.end
     age = int(max(0.0, now - end.at) * MILLISECONDS) + 1
     return EndReport(item.identity, end.life, age, end.release, end.unlikely, end.void, end.settled)
 
 
-def parse_report(told: EndReport, source: str, now: float) -> NamedEnd:
-    """An end as it was told a moment ago."""
+def parse_report(report: EndReport, source: str, now: float) -> NamedEnd:
+    """The end of a report that was just received."""
     end = LifeEnd(
-        told.life,
-        now - told.age / MILLISECONDS,
-        told.release,
-        told.unlikely,
-        told.void,
-        told.settled,
+        report.life,
+        now - report.age / MILLISECONDS,
+        report.release,
+        report.unlikely,
+        report.void,
+        report.settled,
         source,
     )
-    return NamedEnd(told.identity, end)
+    return NamedEnd(report.identity, end)
 
 
 def encode_ends(ends: Iterable[NamedEnd], now: float) -> bytes:
-    """Ends as bytes, empty for none."""
-    told = tuple(build_report(item, now) for item in ends)
-    return _ENCODER.encode(told) if told else b""
+    """Encode ends; empty for none."""
+    reports = tuple(build_report(item, now) for item in ends)
+    return _ENCODER.encode(reports) if reports else b""
 
 
 def decode_ends(data: bytes, source: str, now: float) -> Sequence[NamedEnd]:
-    """Ends of bytes; none for anything else."""
+    """Decode ends; none when the data is empty or invalid."""
     if not data:
         return ()
     try:
-        told = _DECODER.decode(data)
+        reports = _DECODER.decode(data)
     except msgspec.MsgspecError:
         return ()
-    return tuple(parse_report(item, source, now) for item in told)
+    return tuple(parse_report(item, source, now) for item in reports)
--- a/pondpin/tests/test_quarantine.py
+++ b/pondpin/tests/test_quarantine.py
@@ -529,7 +529,7 @@
                 before = len(fleet.ended[DEADLY])
                 fleet.play(NOW + 22.0)
                 self.assertEqual(len(fleet.ended[DEADLY]), before)
-                ends = [len(item.quarantine._standing(DEADLY)) for item in fleet.members]
+                ends = [len(item.quarantine._valid_ends(DEADLY)) for item in fleet.members]
                 self.assertEqual(ends, [before] * 4)
 
     def test_workers_that_end_by_themselves_refuse_nobody(self) -> None:
