--- a/pondpin/http_client.py
+++ b/pondpin/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP client on twisted.web's Agent that tells whether a call can have been sent."""
+"""HTTP client on twisted.web's Agent that reports whether a request may have been sent."""
 
 import asyncio
 import enum
@@ -22,9 +22,9 @@
 from pondpin.http_connections import CheckedConnectionPool
 from pondpin.http_streams import CallFailedError, StreamedResponse, WithheldError, close_if_answered
 
-# Idle connections are closed after this many seconds unless the other side says less.
+# Idle connections are closed after this time, or earlier if the server announces so.
 IDLE_SECONDS = 30.0
-NEVER_CONNECTED = (
+CONNECT_ERRORS = (
     net_error.ConnectError,
     net_error.ConnectionRefusedError,
     net_error.TimeoutError,
@@ -33,15 +33,15 @@
 
 
 class ConnectOutcome(enum.Enum):
-    """What became of an attempt to connect."""
+    """Result of an attempt to connect."""
 
     CONNECTED = "listens"
     REFUSED = "refused"
     UNREACHABLE = "silent"
 
 
-class _KnockFactory(Factory):
-    """Builds connections that are closed unused."""
+class _ProbeFactory(Factory):
+    """Factory of connections that are closed unused."""
 
     noisy = False
     protocol = Protocol
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """A whole answer; header names are lower case, repeated headers are joined by commas."""
+    """A complete response; header names are lower case, repeated headers are joined by commas."""
 
     status: int
     headers: dict[str, str]
@@ -57,8 +57,8 @@
 
 
 @implementer(IBodyProducer)
-class _Bytes:
-    """Sends a body that is in memory."""
+class _BytesProducer:
+    """Body producer of bytes in memory."""
 
     def __init__(self, body: bytes) -> None:
         self.body = body
@@ -69,18 +69,18 @@
         return succeed(None)
 
     def pauseProducing(self) -> None:
-        """Nothing to pause: all is written at once."""
+        """No effect: all is written at once."""
 
     def resumeProducing(self) -> None:
-        """Nothing to resume."""
+        """No effect."""
 
     def stopProducing(self) -> None:
-        """Nothing to stop."""
+        """No effect."""
 
 
 @implementer(IAgentEndpointFactory)
 class NumericEndpoints:
-    """Connects by IP number, without the resolver and its threads."""
+    """Connects by IP address, without the resolver and its threads."""
 
     def __init__(self, reactor: Any, connect_timeout: float) -> None:
         self._reactor = reactor
@@ -89,34 +89,36 @@
     def endpointForURI(self, uri: Any) -> Any:
         """See IAgentEndpointFactory."""
         host = uri.host.decode("ascii").strip("[]")
-        kind = TCP6ClientEndpoint if ":" in host else TCP4ClientEndpoint
-        return kind(self._reactor, host, uri.port, timeout=self._timeout)
+        endpoint_type = TCP6ClientEndpoint if ":" in host else TCP4ClientEndpoint
+        return endpoint_type(self._reactor, host, uri.port, timeout=self._timeout)
 
 
 @implementer(IAgentEndpointFactory)
-class _NoEndpoints:
-    """For an agent that is only used with endpoints of its caller's."""
+class _UnusedEndpoints:
+    """For an agent whose caller always passes an endpoint."""
 
     def endpointForURI(self, uri: Any) -> Any:
-        raise AssertionError("exact calls bring their endpoint")
+        raise AssertionError("raw requests pass their endpoint")
 
 
-class _ExactAgent(Agent):
-    """Sends requests whose target and headers are passed on as they are."""
+class _RawAgent(Agent):
+    """Sends requests with unchanged target and headers."""
 
     _pool: CheckedConnectionPool
 
-    def request_exact(self, call: "RawRequest", endpoint: Any, why_not: Callable[[], str]) -> Any:
-        """Send; the connection is kept for the same host and port.
+    def request_raw(
+        self, call: "RawRequest", endpoint: Any, withhold_reason: Callable[[], str]
+    ) -> Any:
+        """Send a request; the connection is reused for the same host and port.
 
-        why_not is asked once the connection is there, which may take as long as it may take to
-        connect; unless it is empty, nothing is sent.
+        withhold_reason is called when the connection is established, possibly much later; unless it
+        returns "", nothing is sent.
         """
         _ensureValidMethod(call.method)
         key = (b"exact", call.host.encode(), call.port)
 
         def send(connection: Any) -> Any:
-            reason = why_not()
+            reason = withhold_reason()
             if reason:
                 self._pool.release(key, connection)
                 raise WithheldError(reason)
@@ -132,7 +134,7 @@
             headers.addRawHeader(name, value)
         if not headers.hasHeader(b"host"):
             headers.addRawHeader(b"Host", authority)
-        producer: Any = _Bytes(call.body) if call.body else None
+        producer: Any = _BytesProducer(call.body) if call.body else None
         construct: Any = Request._construct
         return construct(
             call.method,
@@ -146,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RawRequest:
-    """A request to be sent as it is; target is the path with its query."""
+    """A request to be sent unchanged; target is the path with its query."""
 
     host: str
     port: int
@@ -157,9 +159,9 @@
 
 
 class HttpClient:
-    """Makes HTTP calls by IP number; nothing is retried here.
+    """Makes HTTP calls by IP address, without retries.
 
-    endpoints are those of calls by URL: see `pondpin.secure_endpoints` for https.
+    endpoints: factory for calls by URL; see `pondpin.secure_endpoints` for https.
     """
 
     def __init__(
@@ -175,12 +177,12 @@
         self._reactor = reactor
         self._connect_timeout = connect_timeout
         endpoints = endpoints or NumericEndpoints(reactor, connect_timeout)
-        self._kept = Agent.usingEndpointFactory(reactor, endpoints, pool)
+        self._pooled = Agent.usingEndpointFactory(reactor, endpoints, pool)
         self._fresh = Agent.usingEndpointFactory(reactor, endpoints)
-        make_exact: Any = _ExactAgent.usingEndpointFactory
-        self._exact = make_exact(reactor, _NoEndpoints(), pool)
+        make_raw: Any = _RawAgent.usingEndpointFactory
+        self._raw = make_raw(reactor, _UnusedEndpoints(), pool)
         single_use = CheckedConnectionPool(reactor, 0.0, 0, persistent=False)
-        self._exact_fresh = make_exact(reactor, _NoEndpoints(), single_use)
+        self._raw_fresh = make_raw(reactor, _UnusedEndpoints(), single_use)
 
     async def open(
         self,
@@ -190,41 +192,41 @@
         body: bytes = b"",
         fresh: bool = False,
     ) -> StreamedResponse:
-        """Send a call and wait for status and headers; raises CallFailedError.
+        """Send a request and wait for status and headers; raises CallFailedError.
 
-        fresh opens a new connection, so that a failure to connect proves that nothing was sent.
+        fresh: use a new connection, so that a failure to connect proves that nothing was sent.
         """
-        agent = self._fresh if fresh else self._kept
+        agent = self._fresh if fresh else self._pooled
         raw = Headers({name: [value] for name, value in (headers or {}).items()})
-        producer: Any = _Bytes(body) if body else None
+        producer: Any = _BytesProducer(body) if body else None
         call = agent.request(method.encode(), url.encode(), raw, producer)
-        return await self._receive(call)
+        return await self._receive_head(call)
 
     async def open_raw(
         self, call: RawRequest, fresh: bool = False, withhold_reason: Callable[[], str] = lambda: ""
     ) -> StreamedResponse:
-        """As open, for a request that is passed on as it is.
+        """Like open, for a request that is sent unchanged.
 
-        why_not is asked just before it is sent; raises WithheldError with its answer unless empty.
+        withhold_reason is called just before sending; raises WithheldError unless it returns "".
         """
         endpoint = TCP4ClientEndpoint(
             self._reactor, call.host, call.port, timeout=self._connect_timeout
         )
-        agent = self._exact_fresh if fresh else self._exact
-        return await self._receive(agent.request_exact(call, endpoint, withhold_reason))
+        agent = self._raw_fresh if fresh else self._raw
+        return await self._receive_head(agent.request_raw(call, endpoint, withhold_reason))
 
-    async def _receive(self, call: Any) -> StreamedResponse:
+    async def _receive_head(self, call: Any) -> StreamedResponse:
         """Wait for status and headers; raises CallFailedError."""
-        answered: asyncio.Future[Any] = call.asFuture(asyncio.get_running_loop())
+        response_future: asyncio.Future[Any] = call.asFuture(asyncio.get_running_loop())
         try:
-            response = await answered
+            response = await response_future
         except WithheldError:
             raise
-        except NEVER_CONNECTED as error:
+        except CONNECT_ERRORS as error:
             refused = isinstance(error, net_error.ConnectionRefusedError)
             raise CallFailedError(type(error).__name__, sent=False, refused=refused) from None
         except asyncio.CancelledError:
-            close_if_answered(answered)
+            close_if_answered(response_future)
             raise
         except Exception as error:
             raise CallFailedError(type(error).__name__, sent=True) from None
@@ -235,16 +237,16 @@
         return StreamedResponse(response.code, names, response)
 
     async def try_connect(self, host: str, port: int) -> ConnectOutcome:
-        """Whether anybody listens at a place: connects and closes."""
+        """Check whether a server listens at an endpoint: connect and close."""
         endpoint = TCP4ClientEndpoint(self._reactor, host, port, timeout=self._connect_timeout)
-        knock: Any = _KnockFactory()
-        connecting: Any = endpoint.connect(knock)
+        factory: Any = _ProbeFactory()
+        connecting: Any = endpoint.connect(factory)
         try:
             connection = await connecting.asFuture(asyncio.get_running_loop())
         except net_error.ConnectionRefusedError:
             return ConnectOutcome.REFUSED
         except net_error.ConnectError:
-            # No answer in time, or no way there.
+            # Timed out, or no route.
             return ConnectOutcome.UNREACHABLE
         connection.transport.abortConnection()
         return ConnectOutcome.CONNECTED
@@ -257,44 +259,44 @@
         body: bytes = b"",
         timeout: float = 5.0,
         fresh: bool = False,
-        on_head: Callable[[StreamedResponse], None] = lambda start: None,
+        on_head: Callable[[StreamedResponse], None] = lambda response: None,
     ) -> HttpResponse:
-        """Make a call and read the whole answer; raises CallFailedError.
+        """Make a call and read the whole response; raises CallFailedError.
 
-        on_head gets status and headers when they come, whatever becomes of the body.
+        on_head is called with status and headers, also when the body fails later.
         """
         try:
             async with asyncio.timeout(timeout):
-                start = await self.open(method, url, headers, body, fresh)
-                on_head(start)
-                content = await start.read()
+                response = await self.open(method, url, headers, body, fresh)
+                on_head(response)
+                content = await response.read()
         except TimeoutError:
             raise CallFailedError("no answer in time", sent=True) from None
-        return HttpResponse(start.status, start.headers, content)
+        return HttpResponse(response.status, response.headers, content)
 
     async def call_with_stall_timeout(
         self,
         method: str,
         url: str,
         stall: float,
-        longest: float,
-        on_head: Callable[[StreamedResponse], None] = lambda start: None,
+        max_seconds: float,
+        on_head: Callable[[StreamedResponse], None] = lambda response: None,
     ) -> HttpResponse:
-        """As call, but stall seconds without a byte, or longest seconds of the body, end it."""
+        """Like call; fails after stall seconds without data, or max_seconds of the body."""
         try:
             async with asyncio.timeout(stall):
-                start = await self.open(method, url)
-                on_head(start)
+                response = await self.open(method, url)
+                on_head(response)
         except TimeoutError:
             raise CallFailedError("no answer in time", sent=True) from None
-        content = await start.read_with_stall_timeout(stall, longest)
-        return HttpResponse(start.status, start.headers, content)
+        content = await response.read_with_stall_timeout(stall, max_seconds)
+        return HttpResponse(response.status, response.headers, content)
 
     def close_idle(self, host: str, port: int) -> None:
-        """Close the connections to a place that rest."""
+        """Close the idle connections to an endpoint."""
         self._pool.close_idle(host, port)
 
     async def close(self) -> None:
-        """Close the idle connections."""
+        """Close all idle connections."""
         pool: Any = self._pool
         await pool.closeCachedConnections().asFuture(asyncio.get_running_loop())
--- a/pondpin/http_connections.py
+++ b/pondpin/http_connections.py
@@ -1,4 +1,4 @@
-"""Client connections that tell how an answer ended, and that are kept no longer than allowed."""
+"""Client connections that record how a response ended, and their pool with idle timeouts."""
 
 import re
 from collections.abc import Callable
@@ -9,29 +9,29 @@
 from twisted.web._newclient import HTTP11ClientProtocol
 from twisted.web.client import HTTPConnectionPool
 
-# A server closes an idle connection about when it says; leave before, in seconds.
-KEEP_ALIVE_MARGIN = 0.5
+# Idle connections are closed this long before the server's announced time, to avoid a race.
+KEEP_ALIVE_MARGIN_SECONDS = 0.5
 _TIMEOUT = re.compile(rb"timeout=(\d+)")
 
 
 class CheckedConnection(HTTP11ClientProtocol):
-    """A connection that is thrown away when anything comes after a whole answer.
+    """A connection that is not reused when data follows a complete response.
 
-    closed_cleanly is set on the answer when the other side closed without a reset, since an
-    answer without a length ends with its connection. kept_seconds is how long the other side
-    keeps the connection while idle, None when it didn't say.
+    closed_cleanly is set on the response when the server closed without a reset, since a response
+    without a length ends with its connection. keep_alive_seconds: the server's idle timeout, None
+    when it sent none.
     """
 
-    kept_seconds: float | None = None
+    keep_alive_seconds: float | None = None
 
     def _finishResponse(self, rest: bytes) -> None:
         if rest and self._currentRequest is not None:
             self._currentRequest.persistent = False
-        self._note_keep_alive()
+        self._record_keep_alive()
         super()._finishResponse(rest)
 
     def connectionLost(self, reason: Any = None) -> None:
-        """Note how the connection ended before the parser ends the answer."""
+        """Record how the connection ended before the parser ends the response."""
         response = getattr(self._parser, "response", None)
         if response is not None:
             response.closed_cleanly = (
@@ -39,17 +39,17 @@
             )
         super().connectionLost(reason)  # type: ignore[no-untyped-call]
 
-    def _note_keep_alive(self) -> None:
+    def _record_keep_alive(self) -> None:
         if self._parser is None:
             return
         for value in self._parser.connHeaders.getRawHeaders(b"keep-alive", ()):
             found = _TIMEOUT.search(value)
             if found is not None:
-                self.kept_seconds = float(found.group(1))
+                self.keep_alive_seconds = float(found.group(1))
 
 
 class CheckedConnectionPool(HTTPConnectionPool):
-    """Keeps idle connections for the shorter of the own and the other side's time."""
+    """Pool that keeps idle connections for the lower of its own and the server's idle timeout."""
 
     def __init__(
         self, reactor: Any, idle_seconds: float, per_host: int, persistent: bool = True
@@ -62,22 +62,22 @@
         self._idle_seconds = idle_seconds
 
     def close_idle(self, host: str, port: int) -> None:
-        """Close the connections to a place that rest: whoever had it is no longer there."""
-        for key in [key for key in self._connections if _place_of(key) == (host, port)]:
+        """Close the idle connections to an endpoint whose server has changed."""
+        for key in [key for key in self._connections if _endpoint_of(key) == (host, port)]:
             for connection in list(self._connections[key]):
                 self._close_idle(key, connection)
 
     def release(self, key: Any, connection: Any) -> None:
-        """Keep a connection that nothing was sent on, if connections are kept here."""
+        """Return an unused connection to the pool, or close it when the pool keeps none."""
         if self.persistent:
             self._putConnection(key, connection)
         else:
             connection.transport.loseConnection()
 
     def getConnection(self, key: Any, endpoint: Any) -> Any:
-        """Give an idle connection whose time is not over, or a new one.
+        """Return an idle connection that has not timed out, or a new one.
 
-        Timers fire late when the machine was suspended, and the other side has closed by then.
+        After a suspension of the machine timers fire late, when the server has already closed.
         """
         now = self._reactor.seconds()
         for connection in list(self._connections.get(key, ())):
@@ -91,10 +91,10 @@
         connection.transport.loseConnection()
 
     def _putConnection(self, key: Any, connection: Any) -> None:
-        said = connection.kept_seconds
+        announced = connection.keep_alive_seconds
         seconds = self._idle_seconds
-        if said is not None:
-            seconds = min(seconds, said - KEEP_ALIVE_MARGIN)
+        if announced is not None:
+            seconds = min(seconds, announced - KEEP_ALIVE_MARGIN_SECONDS)
         if seconds <= 0:
             connection.transport.loseConnection()
             return
@@ -102,14 +102,14 @@
         super()._putConnection(key, connection)  # type: ignore[no-untyped-call]
 
 
-def _place_of(key: tuple[Any, ...]) -> tuple[str, int]:
-    """The host and port of a pool's key: a kind or scheme, the host, the port."""
+def _endpoint_of(key: tuple[Any, ...]) -> tuple[str, int]:
+    """The host and port of a pool key, which follow its kind or scheme."""
     host = key[1]
     return (host.decode() if isinstance(host, bytes) else str(host), int(key[2]))
 
 
 class _CheckedFactory(Factory):
-    """Builds checked connections."""
+    """Factory of CheckedConnection."""
 
     noisy = False
 
--- a/pondpin/http_reply.py
+++ b/pondpin/http_reply.py
@@ -1,4 +1,4 @@
-"""A request that arrived whole, and the answer to it, on a twisted.web request."""
+"""A complete request, and the reply to it, on a twisted.web request."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=False):
-    """What a caller reads of a refusal or failure; retry_after is in seconds."""
+    """Description of a refusal or failure for the caller; retry_after is in seconds."""
 
     code: int
     name: str
@@ -35,7 +35,7 @@
 
 
 def describe_error(error: PondpinError, request: str = "") -> ErrorAnswer:
-    """The document that tells a caller of an error."""
+    """The JSON document of an error."""
     info = INFO_BY_CODE[error.code]
     return ErrorAnswer(
         ErrorBody(
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IncomingRequest:
-    """A request that arrived whole; header names are lower case."""
+    """A completely received request; header names are lower case."""
 
     method: str
     path: str
@@ -64,22 +64,22 @@
 
 
 class Pausable(Protocol):
-    """A source that can be told to hold back."""
+    """A data source with flow control."""
 
     def pause(self) -> None:
-        """Stop producing for now."""
+        """Pause production."""
         ...
 
     def resume(self) -> None:
-        """Go on producing."""
+        """Resume production."""
         ...
 
 
 class Reply:
-    """The answer to one request: whole by send, or in pieces by start, write and finish."""
+    """The reply to one request: whole by send, or streamed by start, write and finish."""
 
     def __init__(self, request: "BoundedRequest") -> None:
-        # Twisted leaves these methods without types.
+        # Any, since Twisted's methods have no types.
         self._request: Any = request
         self.started = False
         self.is_closed = False
@@ -97,7 +97,7 @@
         self._request.close_if_stopping()
 
     def start_raw(self, status: int, headers: tuple[tuple[bytes, bytes], ...]) -> None:
-        """As start, with headers as they are; repeated ones stay repeated."""
+        """Like start, with unchanged headers, also repeated ones."""
         assert not self.started, "an answer starts once"
         self.started = True
         if self.is_closed:
@@ -108,43 +108,43 @@
         self._request.close_if_stopping()
 
     def send_raw(self, status: int, headers: tuple[tuple[bytes, bytes], ...], body: bytes) -> None:
-        """As send, with headers as they are; an answer that may have no body keeps its length."""
-        bodiless = self._request.method == b"HEAD" or status in http.NO_BODY_CODES
-        if not bodiless:
+        """Like send, with unchanged headers; a reply without a body keeps its content-length."""
+        has_no_body = self._request.method == b"HEAD" or status in http.NO_BODY_CODES
+        if not has_no_body:
             headers = (*headers, (b"content-length", str(len(body)).encode()))
         self.start_raw(status, headers)
         self.write(body)
         self.finish()
 
     def write(self, data: bytes) -> None:
-        """Send a piece of the body."""
+        """Send a part of the body."""
         if not self.is_closed:
             self._request.write(data)
 
     def finish(self) -> None:
-        """End the answer."""
+        """End the reply."""
         if not self.is_closed:
             self.is_closed = True
             self._request.finish()
 
     def abort(self) -> None:
-        """Cut the connection so that the caller can't take the answer for whole."""
+        """Abort the connection so that the caller can't mistake the reply for complete."""
         if not self.is_closed:
             self.is_closed = True
             self._request.abort_connection()
 
     @property
     def channel(self) -> Any:
-        """The connection below, None once it is closed."""
+        """The connection's HTTP channel, None once it is closed."""
         return self._request.channel
 
     @property
     def peer_host(self) -> str:
-        """The IP number of the other side."""
+        """The caller's IP address."""
         return str(self._request.getClientAddress().host)
 
     def send(self, status: int, headers: dict[str, str], body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a whole reply."""
         self.start(status, headers | {"content-length": str(len(body))})
         self.write(body)
         self.finish()
@@ -160,29 +160,29 @@
         extra: dict[str, str] | None = None,
         fractions: bool = False,
     ) -> None:
-        """Send an error with its code, outcome and retry advice.
+        """Send an error with its code, outcome and Retry-After.
 
-        fractions: the caller understands a Retry-After of less than a second.
+        fractions: the caller accepts fractions of a second in Retry-After.
         """
         headers = {"content-type": JSON, "pondpin-ran": error.ran.value} | (extra or {})
         if error.retry_after is not None:
-            whole = str(max(1, round(error.retry_after)))
-            headers["retry-after"] = f"{error.retry_after:.2f}" if fractions else whole
+            rounded = str(max(1, round(error.retry_after)))
+            headers["retry-after"] = f"{error.retry_after:.2f}" if fractions else rounded
         body = msgspec.json.encode(describe_error(error, request))
         self.send(error.status, headers, body)
 
     def attach_source(self, source: Pausable) -> None:
-        """Pause the source whenever the caller reads more slowly than it produces."""
+        """Pause the source while the caller reads more slowly than it produces."""
         if not self.is_closed:
-            self._request.registerProducer(_PullBridge(source), True)
+            self._request.registerProducer(_ProducerAdapter(source), True)
 
     def detach_source(self) -> None:
-        """Stop following the source."""
+        """Detach the source."""
         if not self.is_closed:
             self._request.unregisterProducer()
 
     def mark_disconnected(self) -> None:
-        """The caller closed the connection."""
+        """Record that the caller closed the connection."""
         if self.is_closed:
             return
         self.is_closed = True
@@ -191,8 +191,8 @@
 
 
 @dataclass
-class _PullBridge:
-    """Turns Twisted's producer calls into pause and resume."""
+class _ProducerAdapter:
+    """Adapts a source to Twisted's producer interface."""
 
     source: Pausable
 
--- a/pondpin/http_server.py
+++ b/pondpin/http_server.py
@@ -1,6 +1,6 @@
-"""HTTP server on twisted.web whose requests are bounded in memory and time.
+"""HTTP server on twisted.web with bounds on the memory and time of requests.
 
-Bodies stay in memory: instances have no disk, and twisted.web alone would spool them to a file.
+Bodies stay in memory: instances have no disk, and twisted.web would spool them to files.
 """
 
 import asyncio
@@ -21,34 +21,34 @@
 from pondpin.http_reply import JSON, IncomingRequest, Reply, describe_error
 from pondpin.network import Endpoint
 
-LINGER_SECONDS = 1.0
-# A call that carries one of these may be another try: of the earlier ones nothing is known here.
+CLOSE_DELAY_SECONDS = 1.0
+# A request with one of these may be a retry: whether earlier attempts ran is not known here.
 IDEMPOTENCY_HEADERS = ("pondpin-token", "idempotency-key")
 
 
 @dataclass
 class BodyBudget:
-    """Counts the body bytes that a server holds, over all its requests."""
+    """Budget of body bytes that a server holds for all requests."""
 
     limit: int
     held: int = 0
 
     def reserve(self, amount: int) -> bool:
-        """Reserve bytes; False when that would pass the limit."""
+        """Reserve bytes; False when that would exceed the limit."""
         if self.held + amount > self.limit:
             return False
         self.held += amount
         return True
 
     def release(self, amount: int) -> None:
-        """Return reserved bytes."""
+        """Release reserved bytes."""
         assert 0 <= amount <= self.held, "more body bytes returned than held"
         self.held -= amount
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLimits:
-    """Bounds of a server: bytes and seconds."""
+    """Limits of a server, in bytes and seconds."""
 
     body_bytes: int = 64 << 20
     bodies_held_bytes: int = 256 << 20
@@ -61,38 +61,38 @@
 
 
 class BoundedRequest(http.Request):
-    """A request whose body stays in memory, within limits of size and time."""
+    """A request whose body is held in memory, with limits on its size and time."""
 
     server: "WebServer"
 
     def __init__(self, channel: http.HTTPChannel, queued: Any = None) -> None:
         super().__init__(channel)
         self.server = cast("WebFactory", channel.factory).server
-        self.taken = 0
+        self.body_bytes_held = 0
         self.refused = False
         seconds = self.server.limits.send_seconds
-        self.slow: Any = self.server.clock.callLater(seconds, self._too_slow)
+        self.send_timer: Any = self.server.clock.callLater(seconds, self._on_send_timeout)
 
     def gotLength(self, length: int | None) -> None:
-        """Open an in-memory body; refuse one that is too large before it arrives."""
+        """Create the body buffer; refuse a declared length above the limit."""
         self.content = io.BytesIO()
         if length is not None and length > self.server.limits.body_bytes:
             self._refuse(PondpinError(Code.BODY_TOO_LARGE))
 
     def handleContentChunk(self, data: bytes) -> None:
-        """Keep a piece of the body, or drop it once the request is refused."""
+        """Store a part of the body, or drop it after a refusal."""
         if self.refused:
             return
-        if self.taken + len(data) > self.server.limits.body_bytes:
+        if self.body_bytes_held + len(data) > self.server.limits.body_bytes:
             self._refuse(PondpinError(Code.BODY_TOO_LARGE))
         elif not self.server.budget.reserve(len(data)):
             self._refuse(PondpinError(Code.BODIES_HELD, retry_after=1.0))
         else:
-            self.taken += len(data)
+            self.body_bytes_held += len(data)
             cast(io.BytesIO, self.content).write(data)
 
     def requestReceived(self, command: bytes, path: bytes, version: bytes) -> None:
-        """The request arrived whole: pass it on, without parsing forms."""
+        """Process the complete request, without parsing forms."""
         self._cancel_timer()
         if self.refused:
             return
@@ -101,7 +101,7 @@
         self.process()
 
     def process(self) -> None:
-        """Run the handler of the path as a task."""
+        """Run the request's handler as a task."""
         content = cast(io.BytesIO, self.content)
         body = content.getvalue()
         content.close()
@@ -134,14 +134,14 @@
             self._release()
 
     def connectionLost(self, reason: Failure) -> None:
-        """The connection closed, perhaps before the request was whole."""
+        """Clean up after the connection closed, perhaps before the request was complete."""
         self._cancel_timer()
         if self.method == b"(no method yet)":
             self._release()
         super().connectionLost(reason)  # type: ignore[no-untyped-call]
 
     def close_if_stopping(self) -> None:
-        """When the server stops: tell the caller that the connection ends with this answer."""
+        """While the server stops: announce that the connection closes after this reply."""
         if not self.server.stopping:
             return
         self.responseHeaders.setRawHeaders(b"connection", [b"close"])
@@ -149,24 +149,24 @@
             cast(Any, self.channel).persistent = False
 
     def abort_connection(self) -> None:
-        """Cut the connection at once."""
+        """Abort the connection immediately."""
         if self.channel is not None:
             cast(Any, self.channel).forceAbortClient()
 
     def _release(self) -> None:
-        self.server.budget.release(self.taken)
-        self.taken = 0
+        self.server.budget.release(self.body_bytes_held)
+        self.body_bytes_held = 0
 
     def _cancel_timer(self) -> None:
-        if self.slow is not None and self.slow.active():
-            self.slow.cancel()
-        self.slow = None
+        if self.send_timer is not None and self.send_timer.active():
+            self.send_timer.cancel()
+        self.send_timer = None
 
-    def _too_slow(self) -> None:
+    def _on_send_timeout(self) -> None:
         self._refuse(PondpinError(Code.SLOW_SENDER, retry_after=1.0))
 
     def _refuse(self, error: PondpinError) -> None:
-        """Answer before the body is whole, then close once the caller could read it."""
+        """Reply before the body is complete; close after a delay for the caller to read it."""
         if any(self.requestHeaders.hasHeader(name) for name in IDEMPOTENCY_HEADERS):
             error.ran = Ran.UNKNOWN
         self.refused = True
@@ -181,28 +181,28 @@
         )
         channel = self.channel
         channel.write(head.encode() + body)
-        self.server.clock.callLater(LINGER_SECONDS, channel.loseConnection)
+        self.server.clock.callLater(CLOSE_DELAY_SECONDS, channel.loseConnection)
 
 
 class WebFactory(http.HTTPFactory):
-    """Builds channels whose requests are bounded."""
+    """Factory of channels with bounded requests."""
 
     def __init__(self, server: "WebServer") -> None:
         super().__init__(timeout=server.limits.idle_seconds, reactor=server.clock)
         self.server = server
 
     def buildProtocol(self, addr: Any) -> Any:
-        """Build a channel for a new connection."""
+        """Create a channel for a new connection."""
         channel: Any = super().buildProtocol(addr)
         channel.requestFactory = BoundedRequest
-        # The bound is kept by the inner channel, not by the one that negotiates the protocol.
+        # The inner channel checks the bound, not the one that negotiates the protocol.
         channel._channel.totalHeadersSize = self.server.limits.header_bytes
         channel.timeOut = self.server.limits.idle_seconds
         self.server.channels.add(channel)
         return channel
 
     def log(self, request: http.Request) -> None:
-        """Write no access log: requests are counted."""
+        """Disable the access log: metrics count requests."""
 
 
 @dataclass
@@ -219,19 +219,19 @@
     channels: "weakref.WeakSet[Any]" = field(default_factory=weakref.WeakSet)
 
     def __post_init__(self) -> None:
-        """Set up the count of body bytes held."""
+        """Set up the body budget."""
         self.budget = BodyBudget(self.limits.bodies_held_bytes)
 
     def route(self, prefix: str, handler: Handler) -> None:
-        """Send paths that start with prefix to handler."""
+        """Route paths that start with prefix to handler."""
         self.handlers_by_prefix[prefix] = handler
 
     def count_refusal(self, code: Code) -> None:
-        """Count a request refused before it reached a handler."""
+        """Count a request that was refused before it reached a handler."""
         self.refusals_by_code[code] = self.refusals_by_code.get(code, 0) + 1
 
     def listen(self, reactor: Any, endpoint: Endpoint, tls: Any = None) -> Endpoint:
-        """Listen on an endpoint; returns it with the port that was bound."""
+        """Listen on an endpoint; returns it with the bound port."""
         factory = WebFactory(self)
         if tls is None:
             self.port = reactor.listenTCP(endpoint.port, factory, interface=endpoint.host)
@@ -241,21 +241,21 @@
         return Endpoint(endpoint.host, self.port.getHost().port)
 
     def set_idle_timeout(self, seconds: float) -> None:
-        """Change how long idle connections are kept, for the open ones too."""
+        """Set the idle timeout, also of open connections."""
         for channel in list(self.channels):
             inner = channel._channel
             inner.timeOut = seconds
-            # While a request is served the channel has no timer, but one to go back to.
+            # While it serves a request the channel saves its timeout and runs no timer.
             if inner._savedTimeOut:
                 inner._savedTimeOut = seconds
             elif inner.transport is not None:
                 inner.setTimeout(seconds)
 
     def close_idle(self) -> None:
-        """Close the connections on which no request is open or arriving."""
+        """Close connections without a request in progress."""
         for channel in list(self.channels):
             inner = channel._channel
-            # A connection that is being closed waits for its unsent bytes first.
+            # loseConnection sends buffered bytes first.
             if inner.transport is not None and not inner.requests:
                 inner.loseConnection()
 
@@ -268,35 +268,35 @@
                 await stopped.asFuture(asyncio.get_running_loop())
 
     def abort_connections(self) -> None:
-        """Break all open connections, as the death of the process does."""
+        """Abort all open connections, as a crash of the process does."""
         for channel in list(self.channels):
-            inner = channel._channel  # the one that Twisted's generic channel wraps
+            inner = channel._channel  # wrapped by Twisted's generic channel
             if inner.transport is not None:
                 inner.forceAbortClient()
 
     def spawn(self, work: Any) -> None:
-        """Run a coroutine as a task that is kept until it ends."""
+        """Run a coroutine as a task that is referenced until it ends."""
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def handle(self, incoming: IncomingRequest, reply: Reply) -> None:
-        """Find the handler, run it, and turn errors into answers."""
+        """Run the handler of the path; turn errors into replies."""
         try:
-            await self._find(incoming.path)(incoming, reply)
+            await self._find_handler(incoming.path)(incoming, reply)
         except PondpinError as error:
-            self._answer_error(reply, error)
-        except Exception as error:  # a fault must not leave the caller waiting
+            self._reply_error(reply, error)
+        except Exception as error:  # the caller must get a reply
             logging.exception("handler of %s failed", incoming.path)
-            self._answer_error(reply, PondpinError(Code.INTERNAL, str(error), Ran.UNKNOWN))
+            self._reply_error(reply, PondpinError(Code.INTERNAL, str(error), Ran.UNKNOWN))
 
-    def _find(self, path: str) -> Handler:
-        fitting = [prefix for prefix in self.handlers_by_prefix if path.startswith(prefix)]
-        if not fitting:
+    def _find_handler(self, path: str) -> Handler:
+        matching = [prefix for prefix in self.handlers_by_prefix if path.startswith(prefix)]
+        if not matching:
             raise PondpinError(Code.UNKNOWN_PATH)
-        return self.handlers_by_prefix[max(fitting, key=len)]
+        return self.handlers_by_prefix[max(matching, key=len)]
 
-    def _answer_error(self, reply: Reply, error: PondpinError) -> None:
+    def _reply_error(self, reply: Reply, error: PondpinError) -> None:
         if reply.started:
             reply.abort()
         else:
--- a/pondpin/http_streams.py
+++ b/pondpin/http_streams.py
@@ -1,4 +1,4 @@
-"""Answers that are received piece by piece."""
+"""Responses whose body is received as a stream."""
 
 import asyncio
 import math
@@ -10,13 +10,13 @@
 from twisted.web.client import ResponseDone
 from twisted.web.http import PotentialDataLoss
 
-ANSWER_LIMIT = 64 << 20
+MAX_RESPONSE_BYTES = 64 << 20
 
 
 class CallFailedError(Exception):
-    """A call got no whole answer; sent says whether any byte of it can have left.
+    """A call got no complete response; sent: whether any byte of it may have been sent.
 
-    refused: nobody listened at its place.
+    refused: the connection was refused.
     """
 
     def __init__(self, cause: str, sent: bool, refused: bool = False) -> None:
@@ -26,26 +26,26 @@
 
 
 class WithheldError(CallFailedError):
-    """A call that was not sent, since its caller withheld it once the connection was there."""
+    """A call that its caller withheld when the connection was established."""
 
     def __init__(self, cause: str) -> None:
         super().__init__(cause, sent=False)
 
 
 class StreamSink(Protocol):
-    """Receives the pieces of a streamed answer."""
+    """Receiver of a streamed body."""
 
     def on_data(self, data: bytes) -> None:
-        """Take a piece of the body."""
+        """Receive a part of the body."""
         ...
 
     def on_end(self, whole: bool) -> None:
-        """Take the end; whole is False when the connection broke."""
+        """Receive the end; whole is False when the connection broke."""
         ...
 
 
 class ResponseStream(TwistedProtocol):
-    """A streamed answer being received."""
+    """A response body being received."""
 
     transport: Any = None
 
@@ -55,19 +55,19 @@
         self._closed = False
 
     def dataReceived(self, data: bytes) -> None:
-        """Pass a piece on."""
+        """Pass data to the sink."""
         if not self._closed:
             self._sink.on_data(data)
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """Pass the end on."""
+        """Pass the end to the sink."""
         if self._closed:
             return
         self._closed = True
-        self._sink.on_end(reason is not None and self._is_whole(reason))
+        self._sink.on_end(reason is not None and self._is_complete(reason))
 
-    def _is_whole(self, reason: Failure) -> bool:
-        """Whether the answer ended as its framing says; without a length, a close ends it."""
+    def _is_complete(self, reason: Failure) -> bool:
+        """Whether the body is complete by its framing; without a length, a clean close ends it."""
         if reason.check(ResponseDone) is not None:
             return True
         if reason.check(PotentialDataLoss) is None:
@@ -75,17 +75,17 @@
         return bool(getattr(self._response, "closed_cleanly", False))
 
     def pause(self) -> None:
-        """Stop reading for now."""
+        """Pause reading."""
         if not self._closed and self.transport is not None:
             self.transport.pauseProducing()
 
     def resume(self) -> None:
-        """Go on reading."""
+        """Resume reading."""
         if not self._closed and self.transport is not None:
             self.transport.resumeProducing()
 
     def release(self) -> None:
-        """The sink has all it wants: let the rest come in unseen, so the connection is kept."""
+        """Discard the remaining data, so that the connection can be reused."""
         self._closed = True
 
     def close(self) -> None:
@@ -96,37 +96,41 @@
                 self.transport.loseConnection()
 
     def abort(self) -> None:
-        """Reset the connection, so that the other side stops work; no more calls to the sink."""
+        """Reset the connection, so that the server stops its work; no more calls to the sink."""
         self._closed = True
         connection = getattr(self.transport, "_producer", None)
         if connection is not None and hasattr(connection, "abortConnection"):
             connection.abortConnection()
 
 
-def close_if_answered(answered: "asyncio.Future[Any]") -> None:
-    """Close the connection of an answer that came just as its caller stopped waiting."""
-    if not answered.done() or answered.cancelled() or answered.exception() is not None:
+def close_if_answered(response_future: "asyncio.Future[Any]") -> None:
+    """Close the connection of a response that arrived just as its caller was cancelled."""
+    if (
+        not response_future.done()
+        or response_future.cancelled()
+        or response_future.exception() is not None
+    ):
         return
-    StreamedResponse(0, {}, answered.result()).close_unread()
+    StreamedResponse(0, {}, response_future.result()).close_unread()
 
 
 @dataclass(frozen=True, slots=True)
 class StreamedResponse:
-    """Status and headers of a streamed answer, and the stream to receive it."""
+    """Status and headers of a response whose body is received as a stream."""
 
     status: int
     headers: dict[str, str]
     response: Any
 
     def deliver(self, sink: StreamSink) -> ResponseStream:
-        """Receive the body into a sink."""
+        """Stream the body into a sink."""
         stream = ResponseStream(sink, self.response)
         self.response.deliverBody(stream)
         return stream
 
     @property
     def raw_headers(self) -> tuple[tuple[bytes, bytes], ...]:
-        """All headers but those of the connection, repeated ones too."""
+        """All headers except connection headers, including repeated ones."""
         return tuple(
             (name, value)
             for name, values in self.response.headers.getAllRawHeaders()
@@ -135,18 +139,18 @@
 
     def close_unread(self) -> None:
         """Close the connection without reading the body."""
-        self.deliver(_Nothing()).close()
+        self.deliver(_NullSink()).close()
 
     def abort(self) -> None:
         """Reset the connection without reading the body."""
-        self.deliver(_Nothing()).abort()
+        self.deliver(_NullSink()).abort()
 
     def discard(self) -> None:
-        """Receive the body without looking at it, so that the connection can be kept."""
-        self.response.deliverBody(ResponseStream(_Nothing()))
+        """Receive and drop the body, so that the connection can be reused."""
+        self.response.deliverBody(ResponseStream(_NullSink()))
 
-    async def read(self, limit: int = ANSWER_LIMIT) -> bytes:
-        """Receive the whole body; raises CallFailedError when it breaks or is too large."""
+    async def read(self, limit: int = MAX_RESPONSE_BYTES) -> bytes:
+        """Read the whole body; raises CallFailedError when it breaks or is too large."""
         collector = _Collector(limit)
         collector.stream = self.deliver(collector)
         try:
@@ -156,35 +160,33 @@
             raise
 
     async def read_with_stall_timeout(
-        self, stall: float, longest: float, limit: int = ANSWER_LIMIT
+        self, stall: float, max_seconds: float, limit: int = MAX_RESPONSE_BYTES
     ) -> bytes:
-        """As read, for as long as bytes come: stall seconds without any, or longest seconds in all,
-        end it.
-        """
+        """Like read; fails after stall seconds without data, or max_seconds in all."""
         collector = _Collector(limit)
         collector.stream = self.deliver(collector)
         try:
-            for _ in range(math.ceil(longest / stall)):
+            for _ in range(math.ceil(max_seconds / stall)):
                 before = collector.size
                 done, _ = await asyncio.wait((collector.done,), timeout=stall)
                 if done:
                     return collector.done.result()
                 if collector.size == before:
                     break
-            raise CallFailedError(f"not whole after {collector.size} bytes", sent=True)
+            raise CallFailedError(f"response incomplete after {collector.size} bytes", sent=True)
         finally:
             if not collector.done.done():
                 collector.stream.abort()
 
 
-class _Nothing:
-    """A sink that drops everything."""
+class _NullSink:
+    """A sink that drops all data."""
 
     def on_data(self, data: bytes) -> None:
-        """Drop it."""
+        """Drop the data."""
 
     def on_end(self, whole: bool) -> None:
-        """Nothing to do."""
+        """No effect."""
 
 
 class _Collector:
--- a/pondpin/network.py
+++ b/pondpin/network.py
@@ -1,4 +1,4 @@
-"""Checked network addresses: IP numbers only, never host names."""
+"""Validated network addresses: IP addresses only, no host names."""
 
 import ipaddress
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """An IP number and a TCP port."""
+    """An IP address and a TCP port."""
 
     host: str
     port: int
@@ -20,7 +20,7 @@
 
 
 def parse_endpoint(text: str) -> Endpoint:
-    """Split 'IP:port' or '[IPv6]:port'; raises ValueError for a host name or a bad port."""
+    """Parse 'IP:port' or '[IPv6]:port'; raises ValueError for a host name or an invalid port."""
     host, separator, port_text = text.rpartition(":")
     if not separator:
         raise ValueError(f"{text!r} is not of the form IP:port")
@@ -28,7 +28,7 @@
     try:
         ipaddress.ip_address(host)
     except ValueError:
-        raise ValueError(f"{host!r} is not an IP number; host names are refused") from None
+        raise ValueError(f"{host!r} is not an IP address; host names are not accepted") from None
     if not port_text.isdecimal() or not 0 <= int(port_text) <= MAX_PORT:
         raise ValueError(f"{port_text!r} is not a port between 0 and {MAX_PORT}")
     return Endpoint(host, int(port_text))
@@ -36,18 +36,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Checked:
-    """Marks a text in a settings file that must pass a check; check raises ValueError."""
+    """Annotates a string in a settings file with a check that raises ValueError."""
 
     check: Callable[[str], object]
 
     def __get_pydantic_core_schema__(self, source: Any, handler: Callable[[Any], Any]) -> Any:
-        """How pydantic checks it, for the files that it reads."""
-        # A relay checks its settings without pydantic and doesn't load it.
+        """Pydantic's hook, for files that it validates."""
+        # A relay validates its settings without pydantic and must not import it.
         from pydantic_core import core_schema
 
-        return core_schema.no_info_after_validator_function(self._keep, handler(source))
+        return core_schema.no_info_after_validator_function(self._validate, handler(source))
 
-    def _keep(self, text: str) -> str:
+    def _validate(self, text: str) -> str:
         self.check(text)
         return text
 
--- a/pondpin/partitionable_client.py
+++ b/pondpin/partitionable_client.py
@@ -1,4 +1,4 @@
-"""The HTTP client of the callers' own interface, which tests and experiments can cut off."""
+"""HTTP client of the callers' own interface, with a network partition for tests and experiments."""
 
 from typing import Any
 
@@ -7,19 +7,19 @@
 
 
 class PartitionableClient(HttpClient):
-    """Makes no more calls once cut, as after the death of the process, and none to blocked places.
+    """Makes no calls after partition, like a dead process, and none to blocked endpoints.
 
-    blocked: hosts and ports that are cut off: calls to them fail as on a broken network.
+    blocked_endpoints: hosts and ports; calls to them fail as on a broken network.
     """
 
     def __init__(self, reactor: Any, connect_timeout: float) -> None:
         super().__init__(reactor, connect_timeout)
-        self._is_cut = False
+        self._is_partitioned = False
         self.blocked_endpoints: set[str] = set()
 
     def partition(self) -> None:
-        """Make no more calls."""
-        self._is_cut = True
+        """Fail all further calls."""
+        self._is_partitioned = True
 
     async def open(
         self,
@@ -30,11 +30,13 @@
         fresh: bool = False,
     ) -> StreamedResponse:
         """See HttpClient."""
-        self._check_cut(url, sent=False)
-        start = await super().open(method, url, headers, body, fresh)
-        self._check_cut(url, sent=True)
-        return start
-
-    def _check_cut(self, url: str, sent: bool) -> None:
-        if self._is_cut or (self.blocked_endpoints and url.split("/")[2] in self.blocked_endpoints):
+        self._check_partition(url, sent=False)
+        response = await super().open(method, url, headers, body, fresh)
+        self._check_partition(url, sent=True)
+        return response
+
+    def _check_partition(self, url: str, sent: bool) -> None:
+        if self._is_partitioned or (
+            self.blocked_endpoints and url.split("/")[2] in self.blocked_endpoints
+        ):
             raise CallFailedError("cut off", sent)
