--- a/pondpin/codes.py
+++ b/pondpin/codes.py
@@ -1,4 +1,4 @@
-"""Numbered result codes, and what each says about whether a call ran."""
+"""Numbered result codes and their meanings."""
 
 import enum
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CodeInfo:
-    """What a result code means: HTTP status, sentence, whether a retry can help."""
+    """HTTP status and meaning of a result code, and whether a retry can help."""
 
     status: int
     meaning: str
@@ -22,7 +22,7 @@
 
 
 class Code(enum.IntEnum):
-    """Result codes; thousands group them: 1 request, 2 limits, 3 upstream, 4 system."""
+    """Result codes, grouped by thousands: 1 request, 2 limits, 3 upstream, 4 system."""
 
     OK = 0
     MALFORMED_JSON = 1001
--- a/pondpin/command_files.py
+++ b/pondpin/command_files.py
@@ -1,4 +1,4 @@
-"""Reads a file for a command: every fault is printed, and the command ends."""
+"""Reading of a command's input file: prints every fault and exits."""
 
 import sys
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 
 def read_or_exit(program: str, path: str, read: Callable[[str], T], status: int) -> T:
-    """What read makes of a file; ends with a status when it has faults or can't be read."""
+    """The result of read; exits with status when the file has faults or can't be read."""
     try:
         return read(path)
     except OSError as error:
--- a/pondpin/errors.py
+++ b/pondpin/errors.py
@@ -6,8 +6,8 @@
 class PondpinError(Exception):
     """A refusal or failure with its result code, whether the call ran, and when to retry.
 
-    retry_after is in seconds; None means that a later try will not help. settled means that
-    ran also speaks for earlier tries of the same call: its token's issuer said so.
+    retry_after is in seconds; None means that a retry will not help. covers_earlier_attempts: ran
+    also holds for earlier attempts of the same call, as its token's issuer reported.
     """
 
     def __init__(
@@ -31,11 +31,11 @@
 
 
 class PeerUnreachableError(Exception):
-    """A peer gave no answer; whether it acted is not known."""
+    """A peer did not respond; whether it processed the request is unknown."""
 
 
 class FieldError(ValueError):
-    """One fault of a settings or configuration file, with its path in the file."""
+    """One fault in a settings or configuration file, with its path in the document."""
 
     def __init__(self, path: str, problem: str) -> None:
         super().__init__(f"{path}: {problem}")
@@ -47,11 +47,11 @@
     """All faults of one file at once."""
 
     def numbered(self) -> str:
-        """The faults as a numbered list, one a line."""
+        """The faults as a numbered list with one per line."""
         return "\n".join(f"{i}. {fault}" for i, fault in enumerate(self.exceptions, 1))
 
 
 def raise_faults(source: str, faults: list[FieldError]) -> None:
-    """Raise InvalidFileError when there is any fault."""
+    """Raise InvalidFileError if there are any faults."""
     if faults:
         raise InvalidFileError(f"{source} has {len(faults)} fault(s)", faults)
--- a/pondpin/interface_metrics.py
+++ b/pondpin/interface_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics that only the callers' own interface has: relays neither load nor show them."""
+"""Metrics of the callers' own interface only: relays neither import nor export them."""
 
 from pondpin.metrics import SECONDS_BUCKETS, Metrics
 
--- a/pondpin/launch.py
+++ b/pondpin/launch.py
@@ -1,4 +1,4 @@
-"""Reads the settings, starts an entry instance, and stops it cleanly."""
+"""Start and graceful stop of an entry instance from its settings."""
 
 import gc
 import json
@@ -23,7 +23,7 @@
     from pondpin.settings import Settings
 
 PROGRAM = "pondpin-entry"
-# The key that only the settings of a relaying instance have.
+# The key that identifies the settings of a relay.
 RELAY_KEY = "source"
 
 
@@ -35,7 +35,7 @@
             relay = read_or_exit(PROGRAM, settings, read_relay_settings, USAGE_STATUS)
             set_up_logs("info")
             return run(lambda reactor: serve_relay(reactor, relay, settings))
-        # A relay doesn't load what only this role needs, pydantic above all.
+        # Imported here so that a relay doesn't load pydantic.
         from pondpin.settings import read_settings
 
         checked = read_or_exit(PROGRAM, settings, read_settings, USAGE_STATUS)
@@ -46,7 +46,7 @@
 
 
 def is_relay(path: str) -> bool:
-    """Whether a settings file is a relay's; a file that can't be read is told of later."""
+    """Whether a settings file is a relay's; an unreadable file is reported later."""
     try:
         document = json.loads(Path(path).read_bytes())
     except (OSError, ValueError):
@@ -55,12 +55,12 @@
 
 
 async def serve(reactor: Any, settings: "Settings") -> int:
-    """Serve until SIGTERM, then drain."""
+    """Serve until SIGTERM or SIGINT, then drain."""
     from pondpin.entry import Entry
 
     stop = stop_on_signals()
     instance = Entry(reactor, settings)
-    keep_loaded_code()
+    freeze_loaded_objects()
     bound = await instance.start()
     print(f"pondpin-entry {settings.instance} ready on {bound}", flush=True)
     await stop.wait()
@@ -69,30 +69,30 @@
 
 
 async def serve_relay(reactor: Any, settings: RelaySettings, path: str) -> int:
-    """Relay until SIGTERM, then drain; SIGHUP reads the settings again."""
+    """Relay until SIGTERM or SIGINT, then drain; SIGHUP reloads the settings."""
     from pondpin.relay.entry import RelayEntry
 
     stop = stop_on_signals()
     instance = RelayEntry(reactor, settings)
-    keep_loaded_code()
+    freeze_loaded_objects()
     call_on_signal(signal.SIGHUP, lambda: reload_relay(instance, path))
     await instance.start()
-    # The file may have changed after it was read and before a signal was heard.
-    if read_or_keep(path, settings) != settings:
+    # The file may have changed after it was read and before the SIGHUP handler was installed.
+    if read_or_default(path, settings) != settings:
         reload_relay(instance, path)
     await stop.wait()
     await instance.drain_and_stop()
     return 0
 
 
-def keep_loaded_code() -> None:
-    """Collect garbage from now on, but not among what was loaded until now."""
+def freeze_loaded_objects() -> None:
+    """Enable garbage collection, except of the objects that exist now."""
     gc.freeze()
     gc.enable()
 
 
-def read_or_keep(path: str, settings: RelaySettings) -> RelaySettings:
-    """The settings as the file has them now; those in force when it has faults."""
+def read_or_default(path: str, settings: RelaySettings) -> RelaySettings:
+    """The settings in the file; those in force when it has faults."""
     try:
         return read_relay_settings(path)
     except (InvalidFileError, OSError):
@@ -100,7 +100,7 @@
 
 
 def reload_relay(instance: "RelayEntry", path: str) -> None:
-    """Read the settings again; a faulty file leaves the ones in force."""
+    """Reload the settings; a file with faults leaves those in force."""
     try:
         instance.reload(read_relay_settings(path))
     except InvalidFileError as error:
--- a/pondpin/main.py
+++ b/pondpin/main.py
@@ -1,4 +1,4 @@
-"""pondpin-entry: its entry point, which imports little so that signals find it prepared."""
+"""Entry point of pondpin-entry; imports little, so that SIGHUP is ignored early."""
 
 import gc
 import signal
@@ -7,12 +7,12 @@
 def main() -> None:
     """Entry point of pondpin-entry.
 
-    A hang-up signal means that settings changed. One that comes while the program still loads
-    must not end it: the settings are read after this.
+    SIGHUP means that the settings changed. It must not end the program while this is loading: the
+    settings are read afterwards.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    # What is loaded now stays: looking through it for garbage takes some 30 ms at each full
-    # collection later, and nothing once it is set aside (`gc.collect` timed after loading).
+    # Loaded objects stay alive: freezing them after loading saves some 30 ms in each later full
+    # collection (`gc.collect` timed after loading).
     gc.disable()
     from pondpin.launch import PROGRAM, entry
     from pondpin.runtime import run_command
--- a/pondpin/metrics.py
+++ b/pondpin/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of an entry instance: names and units after Prometheus conventions."""
+"""Metrics of an entry instance; names and units follow Prometheus conventions."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 class Metrics:
-    """One registry; every metric is named in docs/METRICS.md."""
+    """One registry; docs/METRICS.md lists every metric."""
 
     def __init__(self, instance: str, data_center: str) -> None:
         self.registry = Registry()
@@ -96,19 +96,23 @@
         self.open_requests = self._gauge("pondpin_requests_open", "Requests being served.")
         self.peers_alive = self._gauge("pondpin_peers_alive", "Peers heard from lately.")
 
-    def _counter(self, name: str, doc: str) -> Any:
-        metric = Counter(name, doc, const_labels=self._common, registry=self.registry)
+    def _counter(self, name: str, description: str) -> Any:
+        metric = Counter(name, description, const_labels=self._common, registry=self.registry)
         return metric
 
-    def _gauge(self, name: str, doc: str) -> Any:
-        return Gauge(name, doc, const_labels=self._common, registry=self.registry)
+    def _gauge(self, name: str, description: str) -> Any:
+        return Gauge(name, description, const_labels=self._common, registry=self.registry)
 
-    def _histogram(self, name: str, doc: str, buckets: Sequence[float]) -> Any:
+    def _histogram(self, name: str, description: str, buckets: Sequence[float]) -> Any:
         return Histogram(
-            name, doc, const_labels=self._common, buckets=list(buckets), registry=self.registry
+            name,
+            description,
+            const_labels=self._common,
+            buckets=list(buckets),
+            registry=self.registry,
         )
 
     def render(self, accept: str) -> tuple[bytes, dict[str, str]]:
-        """The metrics in the text form, with its headers."""
+        """Render the metrics in the text format, with its headers."""
         content, headers = render(self.registry, [accept] if accept else [])
         return content, {name.lower(): value for name, value in headers.items()}
--- a/pondpin/network.py
+++ b/pondpin/network.py
@@ -28,7 +28,7 @@
     try:
         ipaddress.ip_address(host)
     except ValueError:
-        raise ValueError(f"{host!r} is not an IP address; host names are not accepted") from None
+        raise ValueError(f"{host!r} is not an IP address; host names are refused") from None
     if not port_text.isdecimal() or not 0 <= int(port_text) <= MAX_PORT:
         raise ValueError(f"{port_text!r} is not a port between 0 and {MAX_PORT}")
     return Endpoint(host, int(port_text))
--- a/pondpin/notice_headers.py
+++ b/pondpin/notice_headers.py
@@ -1,5 +1,5 @@
-"""The headers in which upstreams of the callers' own interface say of themselves that they leave,
-and what they take from all instances together.
+"""Response headers in which upstreams of the callers' own interface report that they are leaving,
+rest, or have a request limit.
 """
 
 from collections.abc import Callable
@@ -13,30 +13,30 @@
 LEAVING = "leaving"
 RETRY_AFTER = b"retry-after"
 
-# Takes what an answer from an address says of the upstream there.
+# Handles the notice of a response from an address.
 AddressNoticeHandler = Callable[[str, Notice], None]
 
 
 def ignore_notice(address: str, notice: Notice) -> None:
-    """For clients that only measure."""
+    """Handler for clients that only measure."""
 
 
-def response_notice(start: StreamedResponse) -> Notice:
-    """What any answer says of its upstream."""
+def response_notice(response: StreamedResponse) -> Notice:
+    """The notice of a response."""
     return parse_notice(
-        start.status,
-        announces_leaving(start),
-        _all(start, RETRY_AFTER),
-        start.headers.get("date", ""),
+        response.status,
+        announces_leaving(response),
+        _values(response, RETRY_AFTER),
+        response.headers.get("date", ""),
         wall_now(),
-        _all(start, LIMIT_HEADER),
+        _values(response, LIMIT_HEADER),
     )
 
 
-def _all(start: StreamedResponse, name: bytes) -> list[str]:
-    return [value.decode("latin-1") for key, value in start.raw_headers if key.lower() == name]
+def _values(response: StreamedResponse, name: bytes) -> list[str]:
+    return [value.decode("latin-1") for key, value in response.raw_headers if key.lower() == name]
 
 
-def announces_leaving(start: StreamedResponse) -> bool:
-    """Whether an answer's header says that the upstream leaves."""
-    return start.headers.get(STATE_HEADER) == LEAVING
+def announces_leaving(response: StreamedResponse) -> bool:
+    """Whether a response's header reports that the upstream is leaving."""
+    return response.headers.get(STATE_HEADER) == LEAVING
--- a/pondpin/policies.py
+++ b/pondpin/policies.py
@@ -1,4 +1,4 @@
-"""The ways to choose an engine and to admit a request, by the names that files give them."""
+"""Policies of engine choice and admission, by their names in files."""
 
 import enum
 
--- a/pondpin/pydantic_decoding.py
+++ b/pondpin/pydantic_decoding.py
@@ -1,4 +1,4 @@
-"""Decodes JSON documents into frozen data classes and reports every fault at once."""
+"""Decoding of JSON into frozen data classes with pydantic; reports all faults at once."""
 
 from typing import TypeVar
 
@@ -11,8 +11,8 @@
 T = TypeVar("T")
 
 
-def describe_path(location: tuple[int | str, ...]) -> str:
-    """The place of a fault as 'rules[2].match'; the document itself is '$'."""
+def format_path(location: tuple[int | str, ...]) -> str:
+    """The path of a fault, such as 'rules[2].match'; '$' for the document itself."""
     path = ""
     for part in location:
         path += f"[{part}]" if isinstance(part, int) else f".{part}"
@@ -25,7 +25,7 @@
         return adapter.validate_json(document)
     except ValidationError as error:
         faults = [
-            FieldError(describe_path(fault["loc"]), fault["msg"])
+            FieldError(format_path(fault["loc"]), fault["msg"])
             for fault in error.errors(include_url=False, include_input=False, include_context=False)
         ]
         raise InvalidFileError(f"{source} has {len(faults)} fault(s)", faults) from None
--- a/pondpin/relay_settings.py
+++ b/pondpin/relay_settings.py
@@ -1,6 +1,6 @@
-"""Settings of an instance that relays: every key, its default and its unit.
+"""Settings of a relay instance: every key, its default and its unit.
 
-They are checked by msgspec alone: loading pydantic for them took 0.1 of the 0.5 s of a start.
+msgspec alone validates them: importing pydantic took 0.1 of the 0.5 s of a start.
 """
 
 from dataclasses import dataclass, field
@@ -13,12 +13,12 @@
 from pondpin.relay.mechanisms import Mechanism
 from pondpin.strict_decoding import decode_strictly
 
-PLACEMENTS = "^(predicted|least_outstanding|random)$"
+PLACEMENT_PATTERN = "^(predicted|least_outstanding|random)$"
 
 
 @dataclass(frozen=True, kw_only=True)
 class RelayPeers:
-    """The other instances: documents over HTTP, digests as datagrams on the first of ports.
+    """Communication with peers: documents over HTTP, digests as datagrams on the first of ports.
 
     Every instance uses the same ports.
     """
@@ -29,20 +29,20 @@
 
     @property
     def has_remote_peers(self) -> bool:
-        """Whether the settings name instances on other hosts."""
+        """Whether the settings list instances on other hosts."""
         own = parse_endpoint(self.documents).host
         return any(parse_endpoint(address).host != own for address in self.known)
 
 
 @dataclass(frozen=True, kw_only=True)
 class RelayLimits:
-    """Bounds of the deployment; retries_* count over all instances within a window.
+    """Limits of the deployment; retry_* apply to all instances together, within a window.
 
-    key_ms: how long a key that was taken away may still be served, in milliseconds.
-    keys_need_proof: whether keys are refused once the configuration in force was not proved for
-    that long; otherwise an instance that can read nothing goes on with what it knows.
-    configuration_ms: how long after its publication a configuration must be in force everywhere, in
-    milliseconds.
+    key_ms: how long a revoked key may still be served, in milliseconds.
+    keys_need_proof: refuse keys when the configuration in force was not proved fresh for that long;
+    otherwise an instance that can't read the source continues with the configuration it has.
+    configuration_ms: how long after its publication a configuration must be in force on all
+    instances, in milliseconds.
     """
 
     key_ms: Annotated[float, Meta(gt=0)] = 5000.0
@@ -59,11 +59,10 @@
 class RelaySettings:
     """All settings of an instance that relays opaque requests on a platform.
 
-    ready: where the balancer asks whether to send connections. metrics_port 0 serves none.
-    identity_key: a secret that all instances share; requests that end workers are known by digests
-    under it.
+    ready: address of the load balancer's readiness check. metrics_port: 0 for no metrics.
+    identity_key: a secret that all instances share, the key of request identities' digests.
     placement: predicted, or a baseline: least_outstanding, random. without: mechanisms that are
-    switched off, to measure what they are worth.
+    disabled, to measure their effect.
     """
 
     instance: Annotated[str, Meta(min_length=1, max_length=80)]
@@ -75,7 +74,7 @@
     limits: RelayLimits = field(default_factory=lambda: RelayLimits())
     metrics_port: Annotated[int, Meta(ge=0, le=65535)] = 0
     identity_key: Annotated[str, Meta(max_length=200)] = ""
-    placement: Annotated[str, Meta(pattern=PLACEMENTS)] = "predicted"
+    placement: Annotated[str, Meta(pattern=PLACEMENT_PATTERN)] = "predicted"
     without: tuple[Mechanism, ...] = ()
 
 
--- a/pondpin/runtime.py
+++ b/pondpin/runtime.py
@@ -1,4 +1,4 @@
-"""Starts a program: Twisted on the asyncio event loop, arguments by fire, logs by absl."""
+"""Program start-up: Twisted on the asyncio event loop, arguments by fire, logs by absl."""
 
 import asyncio
 import json
@@ -18,7 +18,7 @@
 
 
 class JsonFormatter(std_logging.Formatter):
-    """One JSON object a line: time, level, module, message."""
+    """JSON lines with time, level, module and message."""
 
     def format(self, record: std_logging.LogRecord) -> str:
         """Format a record."""
@@ -34,7 +34,7 @@
 
 
 def set_up_logs(level: str) -> None:
-    """Send absl's logs to standard error as JSON lines."""
+    """Write absl's logs to standard error as JSON lines."""
     logging.use_absl_handler()
     logging.set_verbosity(level)
     logging.get_absl_handler().setFormatter(JsonFormatter())
@@ -45,19 +45,19 @@
     """An event loop whose timers count the time for which the machine was suspended."""
 
     def time(self) -> float:
-        """The loop's clock, which all others of the process agree with."""
+        """The loop's clock, the same as all others of the process."""
         return steady_now()
 
 
 def new_loop() -> asyncio.AbstractEventLoop:
-    """The event loop of a program, set as the current one."""
+    """Create the program's event loop and set it as the current one."""
     loop = SteadyLoop()
     asyncio.set_event_loop(loop)
     return loop
 
 
 def install_reactor(loop: asyncio.AbstractEventLoop) -> Any:
-    """Install Twisted's reactor on an event loop, whose clock it goes by; returns the reactor."""
+    """Install Twisted's reactor on an event loop, with the loop's clock; returns the reactor."""
     asyncioreactor.install(loop)
     from twisted.internet import reactor
 
@@ -87,29 +87,29 @@
 
 
 def call_on_signal(number: int, action: Callable[[], None]) -> None:
-    """Call action on the event loop whenever a signal comes."""
+    """Call action on the event loop at each signal."""
     asyncio.get_running_loop().add_signal_handler(number, action)
 
 
 def wall_now() -> float:
-    """Seconds since the epoch, for what crosses machines."""
+    """Seconds since the epoch, for times that other machines read."""
     return time.time()
 
 
 def steady_now() -> float:
     """Seconds of a clock that never steps back, for time limits.
 
-    It goes on while the machine is suspended. CLOCK_MONOTONIC stands still then, and whatever is
-    judged by its age would seem younger than it is: a key that was taken away, a lease, a peer.
+    It advances while the machine is suspended. CLOCK_MONOTONIC doesn't, which would understate the
+    ages of revoked keys, leases and peers.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def run_command(command: Any, name: str) -> None:
-    """Run a fire command line; unknown or misspelt arguments end with status 2.
+    """Run a fire command line; exits with status 2 on unknown or misspelt arguments.
 
-    fire calls a function before it looks at arguments left over, so functions only
-    return a Ready value here, and the work starts once every argument was taken.
+    fire calls a function before it checks for unused arguments. So functions only return a
+    ParsedCommand, which is started when every argument was consumed.
     """
     arguments = sys.argv[1:]
     if arguments == ["--version"]:
@@ -131,7 +131,7 @@
 
 
 class ParsedCommand:
-    """A command whose arguments were all taken, ready to start."""
+    """A command with its arguments parsed, ready to start."""
 
     __slots__ = ("start",)
 
@@ -139,5 +139,5 @@
         self.start = start
 
     def __dir__(self) -> list[str]:
-        """Show fire no members, so that a left-over argument is refused."""
+        """Hide members from fire, so that it refuses an unused argument."""
         return []
--- a/pondpin/secure_endpoints.py
+++ b/pondpin/secure_endpoints.py
@@ -1,4 +1,4 @@
-"""Connections over TLS, for those who call https: relays load none of its libraries."""
+"""TLS client connections for https URLs; separate, so that relays don't load TLS libraries."""
 
 from pathlib import Path
 from typing import Any
@@ -13,7 +13,7 @@
 
 @implementer(IAgentEndpointFactory)
 class SecureEndpoints(NumericEndpoints):
-    """Connects by IP number; authority is the PEM file that certificates must be signed by."""
+    """Connects by IP address; authority: PEM file of the CA that must have signed certificates."""
 
     def __init__(self, reactor: Any, connect_timeout: float, authority: str) -> None:
         super().__init__(reactor, connect_timeout)
--- a/pondpin/service_choice.py
+++ b/pondpin/service_choice.py
@@ -1,4 +1,4 @@
-"""Chooses the upstream of a plain service's call: pure functions."""
+"""Choice of the upstream for a call of a plain service, as pure functions."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceView:
-    """A service upstream: calls open from here and as it reports, and whether it is local."""
+    """A service upstream: this instance's open calls, its reported calls, whether it is local."""
 
     id: str
     open_calls: int
@@ -17,17 +17,17 @@
 
 
 def choose_service(views: Sequence[ServiceView]) -> ServiceView:
-    """The one with the fewest open calls; local ones first among equals."""
+    """The upstream with the fewest calls; a local one on a tie."""
     return min(
         views, key=lambda view: (view.open_calls + view.reported_calls, not view.is_local, view.id)
     )
 
 
 def pin_upstream(key: str, configured: Sequence[str]) -> str:
-    """The upstream that a caller's idempotency key belongs to, by rendezvous hashing.
+    """The upstream of a caller's idempotency key, by rendezvous hashing.
 
-    Over the configured names, not the live ones: every instance finds the same upstream
-    without agreeing on who is alive, and that upstream is the register of the key.
+    Hashes the configured names, not the live ones: every instance finds the same upstream
+    without agreement on which are alive, and that upstream is the register of the key.
     """
     return max(
         configured, key=lambda name: (xxhash.xxh3_64_intdigest(f"{key}\0{name}".encode()), name)
--- a/pondpin/signing.py
+++ b/pondpin/signing.py
@@ -1,4 +1,4 @@
-"""Signs short texts with the deployment's shared key; old keys still verify."""
+"""Signing of short texts with the deployment's shared key; previous keys still verify."""
 
 import base64
 import hashlib
@@ -10,24 +10,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Signer:
-    """Signs with the first key and verifies with any; keys rotate by adding a new first one."""
+    """Signs with the first key and verifies with any; rotation adds a new first key."""
 
     keys: tuple[bytes, ...]
 
     def sign(self, text: str) -> str:
-        """The text with its MAC after a full stop."""
+        """The text, a full stop and its MAC."""
         return f"{text}.{_mac(self.keys[0], text)}"
 
     def verify(self, signed: str) -> str | None:
-        """The text if its MAC is right by any key, else None."""
+        """The text if its MAC is valid under any key, else None."""
         text, separator, mac = signed.rpartition(".")
         if not separator:
             return None
-        good = [
+        matches = [
             hmac.compare_digest(_mac(key, text).encode(), mac.encode("utf-8", "replace"))
             for key in self.keys
         ]
-        return text if any(good) else None
+        return text if any(matches) else None
 
 
 def _mac(key: bytes, text: str) -> str:
@@ -36,5 +36,5 @@
 
 
 def make_signer(shared_key: str, previous: tuple[str, ...]) -> Signer:
-    """The signer of an instance's settings."""
+    """Create the signer from an instance's settings."""
     return Signer(tuple(key.encode() for key in (shared_key, *previous)))
--- a/pondpin/strict_decoding.py
+++ b/pondpin/strict_decoding.py
@@ -1,4 +1,4 @@
-"""Decodes JSON documents into frozen data classes without pydantic, with every fault at once."""
+"""Decoding of JSON into frozen data classes without pydantic; reports all faults at once."""
 
 from collections.abc import Iterable
 from dataclasses import MISSING, Field, fields, is_dataclass
@@ -28,7 +28,7 @@
 
 
 def _decode_object(kind: type[T], value: Any, path: str, faults: list[FieldError]) -> T | None:
-    """A data class from a JSON object; None when there are faults, which are added to faults."""
+    """Decode a JSON object into a data class; on faults, append them and return None."""
     if not isinstance(value, dict):
         faults.append(FieldError(path or "$", "not an object"))
         return None
@@ -37,11 +37,13 @@
     known: Iterable[Field[Any]] = fields(kind)  # type: ignore[arg-type]
     decoded = {}
     for item in known:
-        place = f"{path}.{item.name}".lstrip(".")
+        item_path = f"{path}.{item.name}".lstrip(".")
         if item.name in value:
-            decoded[item.name] = _decode_value(hints[item.name], value[item.name], place, faults)
+            decoded[item.name] = _decode_value(
+                hints[item.name], value[item.name], item_path, faults
+            )
         elif item.default is MISSING and item.default_factory is MISSING:
-            faults.append(FieldError(place, "missing"))
+            faults.append(FieldError(item_path, "missing"))
     for name in value.keys() - hints.keys():
         faults.append(FieldError(f"{path}.{name}".lstrip("."), "unknown key"))
     return kind(**decoded) if len(faults) == before else None
@@ -55,19 +57,19 @@
     except msgspec.ValidationError as error:
         faults.append(FieldError(path, str(error)))
         return None
-    _check_texts(hint, decoded, path, faults)
+    _check_strings(hint, decoded, path, faults)
     return decoded
 
 
-def _check_texts(hint: Any, value: Any, path: str, faults: list[FieldError]) -> None:
-    """Run the checks that a type's annotation names, on each item of a list."""
+def _check_strings(hint: Any, value: Any, path: str, faults: list[FieldError]) -> None:
+    """Run the checks of a type's annotations, on each item of a list."""
     if get_origin(hint) is tuple:
         for number, item in enumerate(value):
-            _check_texts(get_args(hint)[0], item, f"{path}[{number}]", faults)
-    for mark in getattr(hint, "__metadata__", ()):
-        if not isinstance(mark, Checked):
+            _check_strings(get_args(hint)[0], item, f"{path}[{number}]", faults)
+    for annotation in getattr(hint, "__metadata__", ()):
+        if not isinstance(annotation, Checked):
             continue
         try:
-            mark.check(value)
+            annotation.check(value)
         except ValueError as error:
             faults.append(FieldError(path, str(error)))
--- a/pondpin/tls.py
+++ b/pondpin/tls.py
@@ -1,4 +1,4 @@
-"""TLS by PEM files that are read again when they change, so that keys rotate without a restart."""
+"""TLS contexts that reload changed PEM files, so that keys rotate without a restart."""
 
 import os
 import ssl
@@ -13,14 +13,14 @@
 MIN_VERSION = SSL.TLS1_2_VERSION
 
 
-def newest_change(files: Tls) -> tuple[float, ...]:
-    """The times of change of the files."""
+def modification_times(files: Tls) -> tuple[float, ...]:
+    """Modification times of the files."""
     paths = (files.certificate, files.key, files.authority)
     return tuple(os.stat(path).st_mtime for path in paths if path)
 
 
 def make_openssl_context(files: Tls) -> SSL.Context:
-    """A server's context for Twisted; raises SSL.Error or OSError for bad files."""
+    """Create a server context for Twisted; raises SSL.Error or OSError for invalid files."""
     context = SSL.Context(SSL.TLS_SERVER_METHOD)
     context.set_min_proto_version(MIN_VERSION)
     context.use_certificate_chain_file(files.certificate)
@@ -30,40 +30,40 @@
         context.load_verify_locations(files.authority)
     if files.require_client:
         mode = SSL.VERIFY_PEER | SSL.VERIFY_FAIL_IF_NO_PEER_CERT
-        context.set_verify(mode, lambda _conn, _cert, _err, _depth, good: bool(good))
+        context.set_verify(mode, lambda _conn, _cert, _err, _depth, is_valid: bool(is_valid))
     return context
 
 
 @implementer(IOpenSSLContextFactory)
 class ReloadingContext:
-    """Gives Twisted the context of the files as they are now; keeps the last good one."""
+    """Context factory for Twisted that reloads changed files; keeps the last valid context."""
 
     def __init__(self, files: Tls) -> None:
         self._files = files
-        self._read_at = newest_change(files)
+        self._modified = modification_times(files)
         self._context = make_openssl_context(files)
         self.reloads = 0
 
     def getContext(self) -> SSL.Context:
         """The context for a new connection."""
         try:
-            changed = newest_change(self._files)
-            if changed != self._read_at:
+            modified = modification_times(self._files)
+            if modified != self._modified:
                 self._context = make_openssl_context(self._files)
-                self._read_at = changed
+                self._modified = modified
                 self.reloads += 1
         except (OSError, SSL.Error):
-            # Half-replaced files: the next connection looks again.
+            # Files are being replaced: the next connection retries.
             return self._context
         return self._context
 
 
 class PeerTls:
-    """Contexts for grpclib, both sides of which prove who they are; kept current in place."""
+    """Contexts for grpclib with mutual authentication; reloaded in place."""
 
     def __init__(self, files: Tls) -> None:
         self._files = files
-        self._read_at = newest_change(files)
+        self._modified = modification_times(files)
         self.server = self._make(ssl.Purpose.CLIENT_AUTH)
         self.client = self._make(ssl.Purpose.SERVER_AUTH)
 
@@ -76,10 +76,10 @@
         return context
 
     def refresh(self) -> bool:
-        """Read the files again if they changed; new connections then use them."""
+        """Reload the files if they changed, for new connections; returns whether it did."""
         try:
-            changed = newest_change(self._files)
-            if changed == self._read_at:
+            modified = modification_times(self._files)
+            if modified == self._modified:
                 return False
             for context in (self.server, self.client):
                 context.load_cert_chain(self._files.certificate, self._files.key)
@@ -87,10 +87,10 @@
                     context.load_verify_locations(self._files.authority)
         except (OSError, ssl.SSLError):
             return False
-        self._read_at = changed
+        self._modified = modified
         return True
 
 
 def twisted_tls(files: Tls | None) -> Any:
-    """What WebServer.listen takes: None for plain text."""
+    """The context factory for WebServer.listen; None for plain text."""
     return ReloadingContext(files) if files is not None else None
