--- a/pondpin/tests/test_health.py
+++ b/pondpin/tests/test_health.py
@@ -1,4 +1,4 @@
-"""Ejection, and the retry budget."""
+"""Ejection of upstreams, and the retry budget."""
 
 import unittest
 
@@ -16,21 +16,21 @@
 
 
 class HealthTest(unittest.TestCase):
-    def test_failures_in_a_row_eject(self) -> None:
+    def test_consecutive_failures_eject(self) -> None:
         health = Health()
         for _ in range(3):
             self.assertFalse(health.is_ejected(10.0))
             health = record_failure(health, 10.0)
         self.assertTrue(health.is_ejected(10.0))
 
-    def test_a_refused_connection_ejects_at_once(self) -> None:
+    def test_a_refused_connection_ejects_immediately(self) -> None:
         self.assertTrue(record_failure(Health(), 10.0, certain=True).is_ejected(10.5))
 
-    def test_a_success_between_failures_forgives(self) -> None:
+    def test_a_success_resets_the_failures(self) -> None:
         health = record_success(record_failure(record_failure(Health(), 1.0), 1.0), 1.0)
         self.assertFalse(record_failure(health, 1.0).is_ejected(1.0))
 
-    def test_ejections_grow_to_a_limit(self) -> None:
+    def test_ejections_lengthen_up_to_a_limit(self) -> None:
         health, now = Health(), 0.0
         for _ in range(12):
             health = record_failure(health, now, certain=True)
@@ -42,8 +42,8 @@
     def test_a_pool_is_never_emptied(self, ejected: list[bool]) -> None:
         names = [f"e{number}" for number in range(len(ejected))]
         health = {
-            name: Health(ejected_until=100.0 if out else 0.0)
-            for name, out in zip(names, ejected, strict=True)
+            name: Health(ejected_until=100.0 if is_out else 0.0)
+            for name, is_out in zip(names, ejected, strict=True)
         }
         found = usable_names(names, health, 50.0)
         self.assertTrue(found)
@@ -60,7 +60,7 @@
         self.assertEqual(spent, int(RESERVE_TOKENS))
 
     @given(st.lists(st.floats(0, 0.5), min_size=20, max_size=200))
-    def test_retries_are_a_bounded_share(self, gaps: list[float]) -> None:
+    def test_retries_are_limited_to_a_share(self, gaps: list[float]) -> None:
         budget, now, retries = RetryBudget(), 0.0, 0
         for gap in gaps:
             now += gap
--- a/pondpin/tests/test_http_server.py
+++ b/pondpin/tests/test_http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server's bounds, on a fake transport and clock."""
+"""Limits of the HTTP server, on a fake transport and clock."""
 
 import unittest
 from typing import Any
@@ -17,7 +17,7 @@
 
 
 class Channel:
-    """A connection to a server that answers each request with its body."""
+    """A connection to a server that echoes each request's body."""
 
     def __init__(self, limits: ServerLimits = LIMITS) -> None:
         self.clock = Clock()
@@ -32,7 +32,7 @@
         reply.send(200, {}, incoming.body)
 
     def send(self, data: bytes) -> bytes:
-        """Send bytes; returns all that was answered so far."""
+        """Send bytes; returns all data received so far."""
 
         async def work() -> None:
             self.protocol.dataReceived(data)
@@ -40,12 +40,12 @@
                 await task
 
         run_async(work())
-        answered: bytes = self.transport.value()
-        return answered
+        received: bytes = self.transport.value()
+        return received
 
 
-class BoundsTest(unittest.TestCase):
-    def test_a_slow_sender_is_told_and_cut(self) -> None:
+class LimitsTest(unittest.TestCase):
+    def test_a_slow_sender_gets_an_error_and_is_disconnected(self) -> None:
         channel = Channel()
         channel.send(b"POST / HTTP/1.1\r\ncontent-length: 50\r\n\r\nhalf")
         channel.clock.advance(4.9)
@@ -64,73 +64,75 @@
 
     def test_a_declared_body_over_the_limit(self) -> None:
         channel = Channel()
-        answer = channel.send(b"POST / HTTP/1.1\r\ncontent-length: 101\r\n\r\n")
-        self.assertIn(b"BODY_TOO_LARGE", answer)
-        self.assertIn(b"pondpin-ran: not run", answer)
+        response = channel.send(b"POST / HTTP/1.1\r\ncontent-length: 101\r\n\r\n")
+        self.assertIn(b"BODY_TOO_LARGE", response)
+        self.assertIn(b"pondpin-ran: not run", response)
 
     def test_a_chunked_body_over_the_limit(self) -> None:
         channel = Channel()
         head = b"POST / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n"
-        answer = channel.send(head + b"40\r\n" + b"x" * 64 + b"\r\n40\r\n" + b"x" * 64 + b"\r\n")
-        self.assertIn(b"BODY_TOO_LARGE", answer)
+        response = channel.send(head + b"40\r\n" + b"x" * 64 + b"\r\n40\r\n" + b"x" * 64 + b"\r\n")
+        self.assertIn(b"BODY_TOO_LARGE", response)
         self.assertEqual(channel.server.budget.held, 0)
 
-    def test_all_bodies_together_are_bounded(self) -> None:
+    def test_all_bodies_share_a_limit(self) -> None:
         channel = Channel()
         self.assertTrue(channel.server.budget.reserve(100))
-        answer = channel.send(b"POST / HTTP/1.1\r\ncontent-length: 60\r\n\r\n" + b"x" * 60)
-        self.assertIn(b"BODIES_HELD", answer)
+        response = channel.send(b"POST / HTTP/1.1\r\ncontent-length: 60\r\n\r\n" + b"x" * 60)
+        self.assertIn(b"BODIES_HELD", response)
         self.assertEqual(channel.server.budget.held, 100)
 
-    def test_a_refusal_knows_nothing_of_earlier_tries(self) -> None:
+    def test_a_refused_retry_has_an_unknown_outcome(self) -> None:
         channel = Channel()
-        answer = channel.send(b"POST / HTTP/1.1\r\npondpin-token: t\r\ncontent-length: 101\r\n\r\n")
-        self.assertIn(b"pondpin-ran: outcome unknown", answer)
+        response = channel.send(
+            b"POST / HTTP/1.1\r\npondpin-token: t\r\ncontent-length: 101\r\n\r\n"
+        )
+        self.assertIn(b"pondpin-ran: outcome unknown", response)
 
     def test_two_lengths_are_refused(self) -> None:
         channel = Channel()
-        answer = channel.send(
+        response = channel.send(
             b"POST / HTTP/1.1\r\ncontent-length: 4\r\ncontent-length: 9\r\n\r\nabcd"
         )
-        self.assertIn(b"400", answer)
+        self.assertIn(b"400", response)
 
-    def test_length_and_chunks_together_are_refused(self) -> None:
+    def test_length_with_chunked_encoding_is_refused(self) -> None:
         channel = Channel()
-        answer = channel.send(
+        response = channel.send(
             b"POST / HTTP/1.1\r\ncontent-length: 4\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n"
         )
-        self.assertIn(b"400", answer)
+        self.assertIn(b"400", response)
 
     def test_headers_over_the_limit(self) -> None:
         channel = Channel(ServerLimits(header_bytes=200))
-        answer = channel.send(b"GET / HTTP/1.1\r\nx: " + b"y" * 300 + b"\r\n\r\n")
-        self.assertIn(b"400", answer)
+        response = channel.send(b"GET / HTTP/1.1\r\nx: " + b"y" * 300 + b"\r\n\r\n")
+        self.assertIn(b"400", response)
 
     @given(st.lists(st.binary(max_size=60), max_size=6))
-    def test_any_bytes_leave_nothing_held(self, pieces: list[bytes]) -> None:
+    def test_arbitrary_bytes_release_the_budget(self, chunks: list[bytes]) -> None:
         channel = Channel()
-        for piece in pieces:
+        for chunk in chunks:
             if channel.transport.disconnecting:
                 break
-            channel.send(piece)
+            channel.send(chunk)
         channel.clock.advance(10)
         self.assertEqual(channel.server.budget.held, 0)
 
     @given(st.lists(st.integers(1, 30), max_size=12))
-    def test_cuts_anywhere_make_no_difference(self, cuts: list[int]) -> None:
+    def test_a_request_may_arrive_in_any_segments(self, sizes: list[int]) -> None:
         channel = Channel()
         data = b"POST /a?b=c HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\n\r\nhello"
-        for cut in cuts:
-            if data[:cut]:
-                channel.send(data[:cut])
-            data = data[cut:]
-        answer = channel.send(data) if data else channel.transport.value()
-        self.assertTrue(answer.startswith(b"HTTP/1.1 200"), answer)
-        self.assertTrue(answer.endswith(b"hello"), answer)
+        for size in sizes:
+            if data[:size]:
+                channel.send(data[:size])
+            data = data[size:]
+        response = channel.send(data) if data else channel.transport.value()
+        self.assertTrue(response.startswith(b"HTTP/1.1 200"), response)
+        self.assertTrue(response.endswith(b"hello"), response)
 
 
 class BudgetTest(unittest.TestCase):
-    def test_no_more_is_returned_than_taken(self) -> None:
+    def test_no_more_is_released_than_reserved(self) -> None:
         budget = BodyBudget(10)
         self.assertTrue(budget.reserve(10))
         self.assertFalse(budget.reserve(1))
--- a/pondpin/tests/test_main.py
+++ b/pondpin/tests/test_main.py
@@ -1,4 +1,4 @@
-"""The entry point: prepared for signals before it loads anything."""
+"""The entry point ignores SIGHUP before it imports the program."""
 
 import signal
 import subprocess
@@ -23,25 +23,25 @@
 
 class MainTest(unittest.TestCase):
     def setUp(self) -> None:
-        # A test run that outlives its terminal ignores hang-ups: that is not the program's doing.
+        # Under nohup the test run ignores SIGHUP: not to be attributed to the program.
         before = signal.signal(signal.SIGHUP, signal.SIG_DFL)
         self.addCleanup(signal.signal, signal.SIGHUP, before)
 
-    def test_a_hang_up_while_loading_does_not_end_it(self) -> None:
-        answer = subprocess.run(
+    def test_sighup_while_loading_is_ignored(self) -> None:
+        result = subprocess.run(
             [sys.executable, "-c", SCRIPT], capture_output=True, text=True, check=True
         )
-        self.assertEqual(answer.stdout.splitlines()[-1], "True")
+        self.assertEqual(result.stdout.splitlines()[-1], "True")
 
-    def test_settings_that_are_missing_end_with_a_message(self) -> None:
-        answer = subprocess.run(
+    def test_missing_settings_exit_with_a_message(self) -> None:
+        result = subprocess.run(
             [sys.executable, "-m", "pondpin.main", "--settings=/nowhere"],
             capture_output=True,
             text=True,
             check=False,
         )
-        self.assertEqual(answer.returncode, 2)
-        self.assertIn("/nowhere", answer.stderr)
+        self.assertEqual(result.returncode, 2)
+        self.assertIn("/nowhere", result.stderr)
         self.assertNotEqual(signal.getsignal(signal.SIGHUP), signal.SIG_IGN)
 
 
--- a/pondpin/tests/test_tls.py
+++ b/pondpin/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS: callers over it, peers by it, keys that change without a restart."""
+"""TLS for callers and between peers, and reload of keys without a restart."""
 
 import asyncio
 import contextlib
@@ -45,7 +45,7 @@
             self.drive(lambda: self.check(path), dataclasses.replace(sample_spec(), tls=files))
 
     async def check(self, path: Path) -> None:
-        """A caller that trusts the authority is answered; peers hear each other."""
+        """A caller that trusts the CA gets a response; peers exchange heartbeats."""
         entries = self.fleet.entries_by_name
         await wait_until(
             lambda: all(len(item.instance.book.live_peers()) == 1 for item in entries.values())
@@ -58,26 +58,26 @@
             b"POST /v1/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\n"
             b"authorization: Bearer test-key\r\ncontent-length: %d\r\n\r\n%b" % (len(body), body)
         )
-        answer = await reader.read()
-        self.assertTrue(answer.startswith(b"HTTP/1.1 200"), answer[:200])
+        response = await reader.read()
+        self.assertTrue(response.startswith(b"HTTP/1.1 200"), response[:200])
         writer.close()
-        # An operator who trusts the authority is answered, another is not.
+        # An operator client that trusts the CA gets a response, another doesn't.
         _, reactor = the_loop()
         address = entries["a1"].operators
-        for authority, good in (("authority.pem", True), ("other/authority.pem", False)):
+        for authority, is_trusted in (("authority.pem", True), ("other/authority.pem", False)):
             client = HttpClient(
                 reactor, 1.0, endpoints=SecureEndpoints(reactor, 1.0, str(path / authority))
             )
             with contextlib.ExitStack() as stack:
-                if not good:
+                if not is_trusted:
                     stack.enter_context(self.assertRaises(CallFailedError))
                 status = await client.call("GET", f"https://{address}/v1/status")
                 self.assertEqual(status.status, 200)
             await client.close()
-        # A peer without a certificate of the authority is not heard.
-        stranger = ssl.create_default_context(cafile=str(path / "authority.pem"))
-        stranger.set_alpn_protocols(["h2"])
-        peers = GrpcPeerClient(Metrics("x", "y"), lambda: stranger)
+        # A peer without a certificate of the CA is refused.
+        without_certificate = ssl.create_default_context(cafile=str(path / "authority.pem"))
+        without_certificate.set_alpn_protocols(["h2"])
+        peers = GrpcPeerClient(Metrics("x", "y"), lambda: without_certificate)
         with self.assertRaises(PeerUnreachableError):
             await peers.heartbeat(
                 self.fleet.peer_addresses["a1"], HeartbeatRequest(instance="x"), 2.0
@@ -96,7 +96,7 @@
         for name in ("entry.pem", "entry.key"):
             os.utime(self.path / name, (1, 1))
 
-    def test_a_changed_key_is_read_again(self) -> None:
+    def test_a_changed_key_is_reloaded(self) -> None:
         context = ReloadingContext(self.files)
         first = context.getContext()
         self.assertIs(context.getContext(), first)
@@ -105,14 +105,14 @@
         self.assertIsNot(context.getContext(), first)
         self.assertEqual(context.reloads, 1)
 
-    def test_half_replaced_files_keep_the_last_good_ones(self) -> None:
+    def test_partly_replaced_files_keep_the_last_valid_context(self) -> None:
         context = ReloadingContext(self.files)
         first = context.getContext()
         (self.path / "entry.key").write_text("half")
         self.touch()
         self.assertIs(context.getContext(), first)
 
-    def test_peers_files_are_read_again(self) -> None:
+    def test_peers_files_are_reloaded(self) -> None:
         peers = PeerTls(self.files)
         self.assertFalse(peers.refresh())
         make_files(self.path)
