--- a/pondpin/availability.py
+++ b/pondpin/availability.py
@@ -21,8 +21,8 @@
 
 # Size above which lives not in use are evicted: ten times the upstreams of the largest fleet, 2 MB.
 MAX_LIVES = 10_000
-# Random extra wait of each instance after a rest, as a share of the rest and at most so long.
-# Without it all instances would return to the upstream at the same time.
+# Random extra wait of each instance after a rest, as a share of it and at most this long. Without
+# it all instances would return to the upstream at the same time.
 JITTER_SHARE = 0.1
 MAX_JITTER_SECONDS = 0.5
 # Slow start after a rest: one request in flight per instance, one more for each accepted request
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Leaving:
-    """The first source that reported a life as leaving, and when the report was received."""
+    """The first source that reported a life as leaving, and when."""
 
     source: str
     at: float
@@ -53,8 +53,7 @@
 class Rest:
     """The rest in force, or the last one, of a life.
 
-    until: the end that the upstream asked for. resume_at: when this instance sends again, after its
-    jitter. accepted: requests that the upstream accepted since.
+    until: the end asked for. resume_at: the same with jitter. accepted: requests accepted since.
     """
 
     received_at: float
@@ -81,7 +80,7 @@
         return True
 
     def apply_notice(self, notice: Notice, source: str, now: float, draw: float) -> bool:
-        """Apply a response's notice; True when it reports something. draw: 0 to 1, for jitter."""
+        """Apply a notice; True when it reports something. draw: 0 to 1, for jitter."""
         is_newly_leaving = notice.is_leaving and self.record_leaving(source, now)
         if notice.rest > 0:
             self._extend_rest(notice.rest, now, draw)
@@ -139,7 +138,7 @@
     any_limit_reported: bool = False
 
     def get_or_create(self, life: Life) -> Availability:
-        """A life's availability, the same object until it is evicted."""
+        """A life's availability, the same until it is evicted."""
         found = self.by_life.get(life)
         if found is None:
             found = self.by_life[life] = Availability()
@@ -147,7 +146,7 @@
         return found
 
     def apply_notice(self, life: Life, notice: Notice, source: str, now: float) -> bool:
-        """Apply a response's notice; True when it reports something."""
+        """Apply a notice; True when it reports something."""
         return self.get_or_create(life).apply_notice(notice, source, now, self.rng.random())
 
     def _evict(self) -> None:
@@ -165,11 +164,9 @@
     resume_at: float
 
 
-def find_unavailability(
-    availabilities: Iterable[Availability], now: float
-) -> Unavailability | None:
+def find_unavailability(items: Iterable[Availability], now: float) -> Unavailability | None:
     """Why no upstream accepts a request; None when one does, or when there are none."""
-    known = list(availabilities)
+    known = list(items)
     reasons = [availability.block_reason(now) for availability in known]
     if not reasons or BlockReason.NONE in reasons:
         return None
--- a/pondpin/crash_monitor.py
+++ b/pondpin/crash_monitor.py
@@ -31,12 +31,12 @@
 
 # A broken call is kept until a poll has shown the next life of its upstream.
 BROKEN_SECONDS = 10.0
-# A retry waits for this long for a liveness check of the upstream whose call broke.
-LIVENESS_CHECK_SECONDS = 0.06
+# A retry waits this long for a liveness check of the upstream whose call broke.
+CHECK_SECONDS = 0.06
 # Retry-After of a suspect that is refused since another instance runs it.
 RETRY_SECONDS = 0.5
 # Void ends are sent for this long: several heartbeats reach every peer.
-VOID_BROADCAST_SECONDS = 5.0
+VOID_SEND_SECONDS = 5.0
 # Ends in a heartbeat, 30 bytes each: those of the requests with the most ends.
 MAX_SENT_ENDS = 32
 
@@ -57,7 +57,7 @@
 
 
 class CrashMonitor:
-    """The quarantine of an instance with callers of its own."""
+    """Quarantine on an instance with its own callers."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         self._trial_rank = trial_rank
         self._broadcast = broadcast
         self._clock = clock
-        self._broken_calls: list[BrokenCall] = []
+        self._broken: list[BrokenCall] = []
         # Void ends, and when they were found to be void.
         self._voided: list[tuple[float, NamedEnd]] = []
 
@@ -126,14 +126,14 @@
             self._broadcast()
 
     async def check_liveness(self, identity: int, states: Iterable[UpstreamState]) -> None:
-        """A call broke: check whether the upstream's life has ended."""
+        """Check whether the upstream of a broken call has ended."""
         now = self._clock()
         not_leaving = [state for state in states if not state.leaving]
         broken = [BrokenCall(identity, state, state.incarnation, now) for state in not_leaving]
-        self._broken_calls += broken
+        self._broken += broken
         checks = [asyncio.ensure_future(self._check(item)) for item in broken]
         if checks:
-            await asyncio.wait(checks, timeout=LIVENESS_CHECK_SECONDS)
+            await asyncio.wait(checks, timeout=CHECK_SECONDS)
 
     async def _check(self, broken: BrokenCall) -> None:
         endpoint = parse_endpoint(broken.state.upstream.address)
@@ -141,9 +141,9 @@
             self._record_end(broken)
 
     def _record_end(self, broken: BrokenCall) -> None:
-        if broken not in self._broken_calls:
+        if broken not in self._broken:
             return
-        self._broken_calls.remove(broken)
+        self._broken.remove(broken)
         end = LifeEnd(broken.life, broken.at, source=self._instance)
         if not self.quarantine.record_end(broken.identity, end):
             return
@@ -158,18 +158,18 @@
         self._broadcast()
 
     def refresh(self) -> None:
-        """Record the ends of upstreams that restarted, and remove what has expired."""
+        """Record the ends of restarted upstreams, and remove expired state."""
         now = self._clock()
-        for broken in list(self._broken_calls):
+        for broken in list(self._broken):
             if broken.state.incarnation != broken.incarnation:
                 self._record_end(broken)
-        self._broken_calls = [item for item in self._broken_calls if now - item.at < BROKEN_SECONDS]
+        self._broken = [item for item in self._broken if now - item.at < BROKEN_SECONDS]
         self.quarantine.prune(now)
 
     def heartbeat_payload(self) -> bytes:
         """The ends for the next heartbeat."""
         now = self._clock()
-        self._voided = [item for item in self._voided if now - item[0] < VOID_BROADCAST_SECONDS]
+        self._voided = [item for item in self._voided if now - item[0] < VOID_SEND_SECONDS]
         voided = [end for _, end in self._voided[-MAX_SENT_ENDS:]]
         return encode_ends((*self.quarantine.top_ends(MAX_SENT_ENDS), *voided), now)
 
@@ -177,5 +177,5 @@
         """Merge the ends of a peer's heartbeat."""
         now = self._clock()
         ends = decode_ends(data, source, now)
-        # Ends that the peer counts and that are void here.
+        # Broadcasts the ends that are void here only.
         self._broadcast_voided(self.quarantine.merge_ends(ends, now))
--- a/pondpin/http_client.py
+++ b/pondpin/http_client.py
@@ -22,7 +22,7 @@
 from pondpin.http_connections import CheckedConnectionPool
 from pondpin.http_streams import CallFailedError, StreamedResponse, WithheldError, close_if_answered
 
-# Idle connections are closed after this time, or earlier if the server announces so.
+# Idle connections are closed after this time, or sooner if the server says so.
 IDLE_SECONDS = 30.0
 CONNECT_ERRORS = (
     net_error.ConnectError,
@@ -58,8 +58,6 @@
 
 @implementer(IBodyProducer)
 class _BytesProducer:
-    """Body producer of bytes in memory."""
-
     def __init__(self, body: bytes) -> None:
         self.body = body
         self.length: Any = len(body) if body is not None else UNKNOWN_LENGTH
@@ -69,7 +67,7 @@
         return succeed(None)
 
     def pauseProducing(self) -> None:
-        """No effect: all is written at once."""
+        """No effect."""
 
     def resumeProducing(self) -> None:
         """No effect."""
@@ -95,7 +93,7 @@
 
 @implementer(IAgentEndpointFactory)
 class _UnusedEndpoints:
-    """For an agent whose caller always passes an endpoint."""
+    """For an agent whose caller passes endpoints."""
 
     def endpointForURI(self, uri: Any) -> Any:
         raise AssertionError("raw requests pass their endpoint")
@@ -111,8 +109,7 @@
     ) -> Any:
         """Send a request; the connection is reused for the same host and port.
 
-        withhold_reason is called when the connection is established, possibly much later; unless it
-        returns "", nothing is sent.
+        withhold_reason is called once connected; unless it returns "", nothing is sent.
         """
         _ensureValidMethod(call.method)
         key = (b"exact", call.host.encode(), call.port)
@@ -216,17 +213,16 @@
         return await self._receive_head(agent.request_raw(call, endpoint, withhold_reason))
 
     async def _receive_head(self, call: Any) -> StreamedResponse:
-        """Wait for status and headers; raises CallFailedError."""
-        response_future: asyncio.Future[Any] = call.asFuture(asyncio.get_running_loop())
+        future: asyncio.Future[Any] = call.asFuture(asyncio.get_running_loop())
         try:
-            response = await response_future
+            response = await future
         except WithheldError:
             raise
         except CONNECT_ERRORS as error:
             refused = isinstance(error, net_error.ConnectionRefusedError)
             raise CallFailedError(type(error).__name__, sent=False, refused=refused) from None
         except asyncio.CancelledError:
-            close_if_answered(response_future)
+            close_if_answered(future)
             raise
         except Exception as error:
             raise CallFailedError(type(error).__name__, sent=True) from None
@@ -237,7 +233,7 @@
         return StreamedResponse(response.code, names, response)
 
     async def try_connect(self, host: str, port: int) -> ConnectOutcome:
-        """Check whether a server listens at an endpoint: connect and close."""
+        """Check whether a server listens: connect and close."""
         endpoint = TCP4ClientEndpoint(self._reactor, host, port, timeout=self._connect_timeout)
         factory: Any = _ProbeFactory()
         connecting: Any = endpoint.connect(factory)
--- a/pondpin/http_connections.py
+++ b/pondpin/http_connections.py
@@ -68,7 +68,7 @@
                 self._close_idle(key, connection)
 
     def release(self, key: Any, connection: Any) -> None:
-        """Return an unused connection to the pool, or close it when the pool keeps none."""
+        """Return an unused connection, or close it if the pool keeps none."""
         if self.persistent:
             self._putConnection(key, connection)
         else:
@@ -103,14 +103,12 @@
 
 
 def _endpoint_of(key: tuple[Any, ...]) -> tuple[str, int]:
-    """The host and port of a pool key, which follow its kind or scheme."""
+    """The host and port of a pool key, after its kind or scheme."""
     host = key[1]
     return (host.decode() if isinstance(host, bytes) else str(host), int(key[2]))
 
 
 class _CheckedFactory(Factory):
-    """Factory of CheckedConnection."""
-
     noisy = False
 
     def __init__(self, quiescent: Callable[[Any], None], metadata: Any) -> None:
@@ -121,5 +119,5 @@
         return f"connection to {self._metadata}"
 
     def buildProtocol(self, addr: Any) -> CheckedConnection:
-        """Build a connection."""
+        """Create a connection."""
         return CheckedConnection(self._quiescent)  # type: ignore[no-untyped-call]
--- a/pondpin/http_reply.py
+++ b/pondpin/http_reply.py
@@ -17,7 +17,7 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=False):
-    """Description of a refusal or failure for the caller; retry_after is in seconds."""
+    """An error as the caller sees it; retry_after is in seconds."""
 
     code: int
     name: str
@@ -108,7 +108,7 @@
         self._request.close_if_stopping()
 
     def send_raw(self, status: int, headers: tuple[tuple[bytes, bytes], ...], body: bytes) -> None:
-        """Like send, with unchanged headers; a reply without a body keeps its content-length."""
+        """Like send, with unchanged headers; without a body their content-length stays."""
         has_no_body = self._request.method == b"HEAD" or status in http.NO_BODY_CODES
         if not has_no_body:
             headers = (*headers, (b"content-length", str(len(body)).encode()))
@@ -128,7 +128,7 @@
             self._request.finish()
 
     def abort(self) -> None:
-        """Abort the connection so that the caller can't mistake the reply for complete."""
+        """Abort the connection, so that the reply can't pass for complete."""
         if not self.is_closed:
             self.is_closed = True
             self._request.abort_connection()
@@ -160,10 +160,7 @@
         extra: dict[str, str] | None = None,
         fractions: bool = False,
     ) -> None:
-        """Send an error with its code, outcome and Retry-After.
-
-        fractions: the caller accepts fractions of a second in Retry-After.
-        """
+        """Send an error; fractions: the caller accepts a fractional Retry-After."""
         headers = {"content-type": JSON, "pondpin-ran": error.ran.value} | (extra or {})
         if error.retry_after is not None:
             rounded = str(max(1, round(error.retry_after)))
--- a/pondpin/http_server.py
+++ b/pondpin/http_server.py
@@ -61,14 +61,14 @@
 
 
 class BoundedRequest(http.Request):
-    """A request whose body is held in memory, with limits on its size and time."""
+    """A request with its body in memory, with limits on size and time."""
 
     server: "WebServer"
 
     def __init__(self, channel: http.HTTPChannel, queued: Any = None) -> None:
         super().__init__(channel)
         self.server = cast("WebFactory", channel.factory).server
-        self.body_bytes_held = 0
+        self.held_bytes = 0
         self.refused = False
         seconds = self.server.limits.send_seconds
         self.send_timer: Any = self.server.clock.callLater(seconds, self._on_send_timeout)
@@ -83,12 +83,12 @@
         """Store a part of the body, or drop it after a refusal."""
         if self.refused:
             return
-        if self.body_bytes_held + len(data) > self.server.limits.body_bytes:
+        if self.held_bytes + len(data) > self.server.limits.body_bytes:
             self._refuse(PondpinError(Code.BODY_TOO_LARGE))
         elif not self.server.budget.reserve(len(data)):
             self._refuse(PondpinError(Code.BODIES_HELD, retry_after=1.0))
         else:
-            self.body_bytes_held += len(data)
+            self.held_bytes += len(data)
             cast(io.BytesIO, self.content).write(data)
 
     def requestReceived(self, command: bytes, path: bytes, version: bytes) -> None:
@@ -134,14 +134,14 @@
             self._release()
 
     def connectionLost(self, reason: Failure) -> None:
-        """Clean up after the connection closed, perhaps before the request was complete."""
+        """Clean up, also of an incomplete request."""
         self._cancel_timer()
         if self.method == b"(no method yet)":
             self._release()
         super().connectionLost(reason)  # type: ignore[no-untyped-call]
 
     def close_if_stopping(self) -> None:
-        """While the server stops: announce that the connection closes after this reply."""
+        """Announce that the connection closes after this reply if the server stops."""
         if not self.server.stopping:
             return
         self.responseHeaders.setRawHeaders(b"connection", [b"close"])
@@ -154,8 +154,8 @@
             cast(Any, self.channel).forceAbortClient()
 
     def _release(self) -> None:
-        self.server.budget.release(self.body_bytes_held)
-        self.body_bytes_held = 0
+        self.server.budget.release(self.held_bytes)
+        self.held_bytes = 0
 
     def _cancel_timer(self) -> None:
         if self.send_timer is not None and self.send_timer.active():
@@ -166,7 +166,7 @@
         self._refuse(PondpinError(Code.SLOW_SENDER, retry_after=1.0))
 
     def _refuse(self, error: PondpinError) -> None:
-        """Reply before the body is complete; close after a delay for the caller to read it."""
+        """Reply before the body is complete; close when the caller could read it."""
         if any(self.requestHeaders.hasHeader(name) for name in IDEMPOTENCY_HEADERS):
             error.ran = Ran.UNKNOWN
         self.refused = True
@@ -195,7 +195,7 @@
         """Create a channel for a new connection."""
         channel: Any = super().buildProtocol(addr)
         channel.requestFactory = BoundedRequest
-        # The inner channel checks the bound, not the one that negotiates the protocol.
+        # The inner channel checks it, not the one that negotiates the protocol.
         channel._channel.totalHeadersSize = self.server.limits.header_bytes
         channel.timeOut = self.server.limits.idle_seconds
         self.server.channels.add(channel)
@@ -219,7 +219,6 @@
     channels: "weakref.WeakSet[Any]" = field(default_factory=weakref.WeakSet)
 
     def __post_init__(self) -> None:
-        """Set up the body budget."""
         self.budget = BodyBudget(self.limits.bodies_held_bytes)
 
     def route(self, prefix: str, handler: Handler) -> None:
@@ -227,7 +226,7 @@
         self.handlers_by_prefix[prefix] = handler
 
     def count_refusal(self, code: Code) -> None:
-        """Count a request that was refused before it reached a handler."""
+        """Count a request refused before it reached a handler."""
         self.refusals_by_code[code] = self.refusals_by_code.get(code, 0) + 1
 
     def listen(self, reactor: Any, endpoint: Endpoint, tls: Any = None) -> Endpoint:
--- a/pondpin/http_streams.py
+++ b/pondpin/http_streams.py
@@ -26,7 +26,7 @@
 
 
 class WithheldError(CallFailedError):
-    """A call that its caller withheld when the connection was established."""
+    """A call that its caller withheld once connected."""
 
     def __init__(self, cause: str) -> None:
         super().__init__(cause, sent=False)
@@ -85,7 +85,7 @@
             self.transport.resumeProducing()
 
     def release(self) -> None:
-        """Discard the remaining data, so that the connection can be reused."""
+        """Drop the remaining data, so that the connection can be reused."""
         self._closed = True
 
     def close(self) -> None:
@@ -96,27 +96,23 @@
                 self.transport.loseConnection()
 
     def abort(self) -> None:
-        """Reset the connection, so that the server stops its work; no more calls to the sink."""
+        """Reset the connection to stop the server's work; no more calls to the sink."""
         self._closed = True
         connection = getattr(self.transport, "_producer", None)
         if connection is not None and hasattr(connection, "abortConnection"):
             connection.abortConnection()
 
 
-def close_if_answered(response_future: "asyncio.Future[Any]") -> None:
-    """Close the connection of a response that arrived just as its caller was cancelled."""
-    if (
-        not response_future.done()
-        or response_future.cancelled()
-        or response_future.exception() is not None
-    ):
+def close_if_answered(future: "asyncio.Future[Any]") -> None:
+    """Close the connection of a response that arrived as its caller was cancelled."""
+    if not future.done() or future.cancelled() or future.exception() is not None:
         return
-    StreamedResponse(0, {}, response_future.result()).close_unread()
+    StreamedResponse(0, {}, future.result()).close_unread()
 
 
 @dataclass(frozen=True, slots=True)
 class StreamedResponse:
-    """Status and headers of a response whose body is received as a stream."""
+    """Status and headers of a response, and its body as a stream."""
 
     status: int
     headers: dict[str, str]
@@ -130,7 +126,7 @@
 
     @property
     def raw_headers(self) -> tuple[tuple[bytes, bytes], ...]:
-        """All headers except connection headers, including repeated ones."""
+        """All headers except connection headers."""
         return tuple(
             (name, value)
             for name, values in self.response.headers.getAllRawHeaders()
@@ -146,7 +142,7 @@
         self.deliver(_NullSink()).abort()
 
     def discard(self) -> None:
-        """Receive and drop the body, so that the connection can be reused."""
+        """Drop the body, so that the connection can be reused."""
         self.response.deliverBody(ResponseStream(_NullSink()))
 
     async def read(self, limit: int = MAX_RESPONSE_BYTES) -> bytes:
@@ -180,8 +176,6 @@
 
 
 class _NullSink:
-    """A sink that drops all data."""
-
     def on_data(self, data: bytes) -> None:
         """Drop the data."""
 
@@ -190,8 +184,6 @@
 
 
 class _Collector:
-    """Collects a body up to a limit of bytes."""
-
     def __init__(self, limit: int) -> None:
         self.done: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         self.stream: ResponseStream | None = None
--- a/pondpin/metrics.py
+++ b/pondpin/metrics.py
@@ -96,17 +96,17 @@
         self.open_requests = self._gauge("pondpin_requests_open", "Requests being served.")
         self.peers_alive = self._gauge("pondpin_peers_alive", "Peers heard from lately.")
 
-    def _counter(self, name: str, description: str) -> Any:
-        metric = Counter(name, description, const_labels=self._common, registry=self.registry)
+    def _counter(self, name: str, doc: str) -> Any:
+        metric = Counter(name, doc, const_labels=self._common, registry=self.registry)
         return metric
 
-    def _gauge(self, name: str, description: str) -> Any:
-        return Gauge(name, description, const_labels=self._common, registry=self.registry)
+    def _gauge(self, name: str, doc: str) -> Any:
+        return Gauge(name, doc, const_labels=self._common, registry=self.registry)
 
-    def _histogram(self, name: str, description: str, buckets: Sequence[float]) -> Any:
+    def _histogram(self, name: str, doc: str, buckets: Sequence[float]) -> Any:
         return Histogram(
             name,
-            description,
+            doc,
             const_labels=self._common,
             buckets=list(buckets),
             registry=self.registry,
--- a/pondpin/quarantine.py
+++ b/pondpin/quarantine.py
@@ -3,7 +3,7 @@
 An end is an upstream life that ended while it ran a request. It counts once against the request,
 whichever instance observed it. One end makes the request suspected: it runs at one upstream at a
 time, isolated from others. Three quarantine it: it runs nowhere for a period, then in single
-trials, each after a longer period.
+trials at growing intervals.
 
 Most requests that an upstream was running when it ended are innocent, so an end does not count
 against a request
@@ -13,12 +13,10 @@
 - when many other lives ended at the same time, as in the loss of a rack or of a service's power;
 - that has completed at some upstream recently, or does so later.
 
-Ends of requests that had not just begun never make a request suspected; three of them quarantine it
-nevertheless.
+Ends of requests that had not just begun suspect none, but three of them quarantine.
 
 The state is a set of ends with the key (request, life), whose flags are only ever set. So instances
-can merge their sets in any order, and no end counts twice. All times are of the steady clock; every
-decision takes the current time.
+can merge their sets in any order, and no end counts twice. Times are of the steady clock.
 """
 
 import enum
@@ -45,9 +43,9 @@
 # More other lives than this, and than this share of the service's, are a common failure.
 CORRELATED_LIVES = 2
 CORRELATED_SHARE = 0.25
-# A completed request can't be suspected for this long; upstreams' software may change afterwards.
+# A completed request can't be suspected for this long; then upstreams' software may have changed.
 SUCCESS_SECONDS = 30.0
-# After this the instance that reported a suspect's run without its end counts as gone.
+# A suspect's run whose end is not reported by then: its instance is gone.
 RUN_TIMEOUT_SECONDS = 2.0
 # A suspect's next run waits for this long after its last end: by then every instance has reported
 # the requests that it had there.
@@ -56,8 +54,8 @@
 AVOID_SECONDS = 0.5
 # A void end is kept for this long, so that a peer's older report doesn't restore it.
 VOID_RETENTION_SECONDS = 60.0
-# Memory bounds: 0.3 kB a suspect, 0.1 kB a completed request. Evicted first are suspects with the
-# fewest ends that are not void, then the oldest; of one suspect's ends void ones, then the oldest.
+# Memory bounds: 0.3 kB a suspect, 0.1 kB a completed request. Evicted first are void ends and
+# suspects with the fewest others, then the oldest.
 MAX_SUSPECTS = 1000
 MAX_ENDS = 12
 MAX_SUCCESSES = 4096
@@ -167,17 +165,16 @@
 
     ends_by_identity: dict[int, dict[int, LifeEnd]] = field(default_factory=dict)
     identities_by_life: dict[int, set[int]] = field(default_factory=dict)
-    succeeded_at_by_identity: OrderedDict[int, float] = field(default_factory=OrderedDict)
+    success_at_by_identity: OrderedDict[int, float] = field(default_factory=OrderedDict)
     runs_by_identity: dict[int, dict[str, SuspectRun]] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Set up the fingerprint, which is computed on request."""
         self._fingerprint: int | None = 0
 
     def record_end(self, identity: int, end: LifeEnd) -> bool:
         """Record an end that this instance observed; True when it must be broadcast."""
-        succeeded_at = self.succeeded_at_by_identity.get(identity)
-        if succeeded_at is not None and end.at - succeeded_at < SUCCESS_SECONDS:
+        success_at = self.success_at_by_identity.get(identity)
+        if success_at is not None and end.at - success_at < SUCCESS_SECONDS:
             return False
         return self._merge_end(identity, end)
 
@@ -219,10 +216,10 @@
 
     def record_success(self, identity: int, now: float) -> tuple[NamedEnd, ...]:
         """A request completed: void its ends; returns those that were not void before."""
-        self.succeeded_at_by_identity[identity] = now
-        self.succeeded_at_by_identity.move_to_end(identity)
-        if len(self.succeeded_at_by_identity) > MAX_SUCCESSES:
-            self.succeeded_at_by_identity.popitem(last=False)
+        self.success_at_by_identity[identity] = now
+        self.success_at_by_identity.move_to_end(identity)
+        if len(self.success_at_by_identity) > MAX_SUCCESSES:
+            self.success_at_by_identity.popitem(last=False)
         return self.clear(identity)
 
     def clear(self, identity: int) -> tuple[NamedEnd, ...]:
@@ -233,10 +230,10 @@
     def settle(self, identity: int, life: int, void: bool = False) -> NamedEnd:
         """Mark an end as settled: the upstream list confirms it, or it is void."""
         known = self.ends_by_identity[identity][life]
-        settled_end = replace(known, void=known.void or void, settled=True)
-        self.ends_by_identity[identity][life] = settled_end
+        end = replace(known, void=known.void or void, settled=True)
+        self.ends_by_identity[identity][life] = end
         self._fingerprint = None
-        return NamedEnd(identity, settled_end)
+        return NamedEnd(identity, end)
 
     def unsettled(self) -> tuple[NamedEnd, ...]:
         """Ends whose only evidence is a refused connection."""
@@ -271,14 +268,14 @@
         return tuple(sorted(counted, key=lambda end: end.at))
 
     def _is_explained(self, identity: int, end: LifeEnd, own_ends: int) -> bool:
-        """Whether another request that ran there is the more likely cause."""
+        """Whether another request there is the more likely cause."""
         for other in self.identities_by_life.get(end.life, set()) - {identity}:
-            other_end = self.ends_by_identity[other].get(end.life)
-            if other_end is None or other_end.void:
+            theirs = self.ends_by_identity[other].get(end.life)
+            if theirs is None or theirs.void:
                 continue
-            if end.unlikely and not other_end.unlikely:
+            if end.unlikely and not theirs.unlikely:
                 return True
-            if not other_end.unlikely and len(self._valid_ends(other)) > own_ends:
+            if not theirs.unlikely and len(self._valid_ends(other)) > own_ends:
                 return True
         return False
 
@@ -295,10 +292,10 @@
         """Whether a life ended about then without running a deadly request."""
         is_near = False
         for identity in identities:
-            other_end = self.ends_by_identity[identity][life]
+            theirs = self.ends_by_identity[identity][life]
             if len(self._valid_ends(identity)) >= ENDS_TO_QUARANTINE:
                 return False
-            is_near = is_near or abs(other_end.at - at) <= CORRELATED_SECONDS
+            is_near = is_near or abs(theirs.at - at) <= CORRELATED_SECONDS
         return is_near
 
     def _valid_ends(self, identity: int) -> list[LifeEnd]:
@@ -325,7 +322,7 @@
         return any(now - run.started_at < RUN_TIMEOUT_SECONDS for run in runs)
 
     def avoided_lives(self, now: float) -> frozenset[int]:
-        """Lives that a suspect was just sent to, and that may therefore end."""
+        """Lives that a suspect was just sent to, so that they may end."""
         return frozenset(
             run.life
             for runs in self.runs_by_identity.values()
@@ -359,7 +356,7 @@
         self._fingerprint = None
 
     def top_ends(self, limit: int) -> tuple[NamedEnd, ...]:
-        """The ends to report first: of the requests with most ends, then of the latest."""
+        """The ends of the requests with most ends, then of the latest."""
         ordered = sorted(self.ends_by_identity, key=self._eviction_key, reverse=True)
         found = (
             NamedEnd(identity, end) for identity in ordered for end in self._valid_ends(identity)
@@ -368,7 +365,7 @@
 
     @property
     def fingerprint(self) -> int:
-        """Hash of the ends that are not void, equal for equal sets; 0 for none."""
+        """Hash of the ends that are not void; 0 for none."""
         if self._fingerprint is None:
             names = sorted(
                 f"{identity}@{end.life}"
@@ -382,7 +379,7 @@
 def _assess_quarantined(
     ends: tuple[LifeEnd, ...], now: float, context: AssessmentContext
 ) -> Assessment:
-    """Assess a request with enough ends for a quarantine: it waits, or gets a trial."""
+    """Quarantine a request with enough ends, or allow a trial."""
     until = ends[-1].at + quarantine_seconds(len(ends))
     if now >= until + context.trial_rank * TRIAL_INTERVAL_SECONDS:
         return Assessment(Verdict.SUSPECTED, ends, until)
@@ -394,7 +391,7 @@
 
 
 def _expires_at(valid_count: int, latest: LifeEnd) -> float:
-    """When a request expires: a while after twice its quarantine; sooner with few or void ends."""
+    """When a request expires: with a quarantine, some time after twice its length."""
     if not valid_count:
         return latest.at + VOID_RETENTION_SECONDS
     if valid_count < ENDS_TO_QUARANTINE:
@@ -406,7 +403,7 @@
 
 
 def compute_trial_rank(identity: int, instance: str, peers: Iterable[str]) -> int:
-    """How many live peers precede an instance in a pseudo-random order by request."""
+    """How many live peers precede an instance in an order by request."""
     own = _rank_hash(identity, instance)
     return sum(_rank_hash(identity, peer) < own for peer in peers)
 
