--- a/pondpin/availability.py
+++ b/pondpin/availability.py
@@ -1,8 +1,8 @@
-"""Availability of an upstream's life as the upstream reported it: leaving, resting, request limit.
+"""Availability that an upstream's life reported: leaving, resting, request limit.
 
-Kept separately from all other state of an upstream, which is rebuilt when its list entry lapses and
-returns: health may be lost, and health checks are skipped when few upstreams are left, but reported
-availability must survive. Times are in seconds of the steady clock.
+Kept apart from an upstream's other state, which is rebuilt when its list entry lapses and returns:
+health may be lost then, and is ignored when few upstreams are left; these reports are not. Times
+are in seconds of the steady clock.
 """
 
 import enum
@@ -19,15 +19,15 @@
 
 Life = TypeVar("Life", bound=Hashable)
 
-# Size above which lives not in use are evicted: ten times the upstreams of the largest fleet, 2 MB.
+# Above this, lives not in use are evicted: ten times the largest fleet, 2 MB.
 MAX_LIVES = 10_000
 # Random extra wait of each instance after a rest, as a share of it and at most this long. Without
 # it all instances would return to the upstream at the same time.
 JITTER_SHARE = 0.1
 MAX_JITTER_SECONDS = 0.5
 # Slow start after a rest: one request in flight per instance, one more for each accepted request
-# and for each step, no bound after the last step. Under surges, 0.771 0.768 of the requests are in
-# time with it, 0.726 0.758 when all queued requests return at once (`measure_rests`).
+# and for each step, no bound after the last step. Requests in time under surges (`measure_rests`):
+# 0.771 0.768 with it, 0.726 0.758 when all queued requests return at once.
 SLOW_START_STEP_SECONDS = 0.25
 SLOW_START_SECONDS = 2.0
 
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True)
 class Availability:
-    """Availability of one life; leaving is final. is_empty: nothing was reported about it yet."""
+    """Availability of one life; leaving is final. is_empty: nothing was reported yet."""
 
     leaving: Leaving | None = None
     rest: Rest | None = None
@@ -150,7 +150,6 @@
         return self.get_or_create(life).apply_notice(notice, source, now, self.rng.random())
 
     def _evict(self) -> None:
-        """Evict the oldest lives above MAX_LIVES that are not in use."""
         for life in list(self.by_life)[: max(0, len(self.by_life) - MAX_LIVES)]:
             if not self.is_in_use(life):
                 del self.by_life[life]
@@ -158,7 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unavailability:
-    """Why no upstream of a set accepts a request: all are leaving, or some rest until resume_at."""
+    """Why no upstream of a set accepts requests: all leave, or some rest until resume_at."""
 
     reason: BlockReason
     resume_at: float
--- a/pondpin/crash_monitor.py
+++ b/pondpin/crash_monitor.py
@@ -1,4 +1,4 @@
-"""Detection of upstream crashes under calls of pondpin's own callers, and their quarantine.
+"""Detection of upstreams that crash under calls of own callers, and the calls' quarantine.
 
 `pondpin.quarantine` decides, as for relayed requests. An upstream's life is its incarnation: a
 later one, or a refused connection, proves that the earlier one has ended.
@@ -29,13 +29,13 @@
 from pondpin.quarantine_messages import decode_ends, encode_ends
 from pondpin.request_identity import format_identity
 
-# A broken call is kept until a poll has shown the next life of its upstream.
+# Broken calls are kept until a poll shows the next life of the upstream.
 BROKEN_SECONDS = 10.0
 # A retry waits this long for a liveness check of the upstream whose call broke.
 CHECK_SECONDS = 0.06
-# Retry-After of a suspect that is refused since another instance runs it.
+# Retry-After of a suspect that another instance runs.
 RETRY_SECONDS = 0.5
-# Void ends are sent for this long: several heartbeats reach every peer.
+# Void ends are sent this long: several heartbeats reach every peer.
 VOID_SEND_SECONDS = 5.0
 # Ends in a heartbeat, 30 bytes each: those of the requests with the most ends.
 MAX_SENT_ENDS = 32
@@ -116,9 +116,9 @@
 
     def record_success(self, identity: int) -> None:
         """A request completed."""
-        self._broadcast_voided(self.quarantine.record_success(identity, self._clock()))
+        self._send_voided(self.quarantine.record_success(identity, self._clock()))
 
-    def _broadcast_voided(self, ends: Iterable[NamedEnd]) -> None:
+    def _send_voided(self, ends: Iterable[NamedEnd]) -> None:
         now = self._clock()
         found = [(now, item) for item in ends]
         if found:
@@ -178,4 +178,4 @@
         now = self._clock()
         ends = decode_ends(data, source, now)
         # Broadcasts the ends that are void here only.
-        self._broadcast_voided(self.quarantine.merge_ends(ends, now))
+        self._send_voided(self.quarantine.merge_ends(ends, now))
--- a/pondpin/datagrams.py
+++ b/pondpin/datagrams.py
@@ -25,8 +25,8 @@
 class DatagramSocket:
     """Sends and receives datagrams with one system call each; closes immediately.
 
-    Twisted's port needs one more read for each datagram. An idle instance among 195 receives and
-    sends some 30 datagrams a second (`GossipFleet`).
+    Twisted's port needs one more read for each datagram. An idle instance among 195 handles some 30
+    datagrams a second (`GossipFleet`).
     """
 
     def __init__(self, endpoint: Endpoint, on_datagram: Callable[[bytes], None]) -> None:
--- a/pondpin/errors.py
+++ b/pondpin/errors.py
@@ -31,11 +31,11 @@
 
 
 class PeerUnreachableError(Exception):
-    """A peer did not respond; whether it processed the request is unknown."""
+    """A peer did not respond; it may have processed the request."""
 
 
 class FieldError(ValueError):
-    """One fault in a settings or configuration file, with its path in the document."""
+    """One fault in a settings or configuration file, with its path there."""
 
     def __init__(self, path: str, problem: str) -> None:
         super().__init__(f"{path}: {problem}")
--- a/pondpin/health.py
+++ b/pondpin/health.py
@@ -1,4 +1,4 @@
-"""Ejection of failing upstreams as pure functions on frozen records; a pool is never emptied."""
+"""Ejection of failing upstreams, on frozen records; a pool is never emptied."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Health:
-    """Consecutive failures, count of ejections, and end of the last one in seconds."""
+    """Consecutive failures, ejections, and end of the last one in seconds."""
 
     failures: int = 0
     ejections: int = 0
@@ -45,8 +45,8 @@
 
     So many concurrent failures point to the network or to this instance, not to the upstreams.
     """
-    not_ejected = [name for name in names if not health_by_name.get(name, Health()).is_ejected(now)]
-    ejected = len(names) - len(not_ejected)
-    if not_ejected and ejected <= MAX_EJECTED_SHARE * len(names):
-        return not_ejected
-    return not_ejected or list(names)
+    allowed = [name for name in names if not health_by_name.get(name, Health()).is_ejected(now)]
+    ejected = len(names) - len(allowed)
+    if allowed and ejected <= MAX_EJECTED_SHARE * len(names):
+        return allowed
+    return allowed or list(names)
--- a/pondpin/http_client.py
+++ b/pondpin/http_client.py
@@ -41,8 +41,6 @@
 
 
 class _ProbeFactory(Factory):
-    """Factory of connections that are closed unused."""
-
     noisy = False
     protocol = Protocol
 
--- a/pondpin/http_connections.py
+++ b/pondpin/http_connections.py
@@ -103,7 +103,7 @@
 
 
 def _endpoint_of(key: tuple[Any, ...]) -> tuple[str, int]:
-    """The host and port of a pool key, after its kind or scheme."""
+    # A kind or scheme, the host, the port.
     host = key[1]
     return (host.decode() if isinstance(host, bytes) else str(host), int(key[2]))
 
--- a/pondpin/http_reply.py
+++ b/pondpin/http_reply.py
@@ -169,7 +169,7 @@
         self.send(error.status, headers, body)
 
     def attach_source(self, source: Pausable) -> None:
-        """Pause the source while the caller reads more slowly than it produces."""
+        """Pause the source whenever the caller reads too slowly."""
         if not self.is_closed:
             self._request.registerProducer(_ProducerAdapter(source), True)
 
@@ -189,8 +189,6 @@
 
 @dataclass
 class _ProducerAdapter:
-    """Adapts a source to Twisted's producer interface."""
-
     source: Pausable
 
     def pauseProducing(self) -> None:
--- a/pondpin/http_server.py
+++ b/pondpin/http_server.py
@@ -207,7 +207,7 @@
 
 @dataclass
 class WebServer:
-    """Routes requests by longest path prefix to handlers."""
+    """Routes requests to handlers by longest path prefix."""
 
     clock: Any
     limits: ServerLimits = field(default_factory=ServerLimits)
@@ -244,7 +244,7 @@
         for channel in list(self.channels):
             inner = channel._channel
             inner.timeOut = seconds
-            # While it serves a request the channel saves its timeout and runs no timer.
+            # While it serves a request a channel saves its timeout and runs no timer.
             if inner._savedTimeOut:
                 inner._savedTimeOut = seconds
             elif inner.transport is not None:
@@ -269,12 +269,12 @@
     def abort_connections(self) -> None:
         """Abort all open connections, as a crash of the process does."""
         for channel in list(self.channels):
-            inner = channel._channel  # wrapped by Twisted's generic channel
+            inner = channel._channel
             if inner.transport is not None:
                 inner.forceAbortClient()
 
     def spawn(self, work: Any) -> None:
-        """Run a coroutine as a task that is referenced until it ends."""
+        """Run a coroutine as a task, referenced until it ends."""
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
--- a/pondpin/launch.py
+++ b/pondpin/launch.py
@@ -77,7 +77,7 @@
     freeze_loaded_objects()
     call_on_signal(signal.SIGHUP, lambda: reload_relay(instance, path))
     await instance.start()
-    # The file may have changed after it was read and before the SIGHUP handler was installed.
+    # The file may have changed before the SIGHUP handler was installed.
     if read_or_default(path, settings) != settings:
         reload_relay(instance, path)
     await stop.wait()
--- a/pondpin/limit_slots.py
+++ b/pondpin/limit_slots.py
@@ -1,15 +1,15 @@
 """The share of an upstream's limit that an instance of the callers' own interface may use.
 
-All instances learn an upstream's limit within one load poll, so each computes its own time slots:
-the permits of a limit go round robin to the live instances. An unused slot expires soon, since the
-slots saved by all instances together would exceed the limit.
+All instances learn a limit within one load poll, so each computes its own time slots: permits go
+round robin to the live instances. Unused slots expire soon, since the saved slots of all instances
+together would exceed the limit.
 """
 
 import math
 from dataclasses import dataclass
 
-# A slot is valid for this long plus the interval of one permit: with the slots that begin in any
-# 4 s this stays below 1.25 times what the limit allows, plus 3.
+# A slot is valid for this long plus the interval of one permit: with those that begin in any 4 s
+# this stays below 1.25 times the limit, plus 3.
 VALID_SECONDS = 0.75
 
 
@@ -43,7 +43,7 @@
         first = self.reported_at + (position.rank + 1) / self.limit
         start = first + math.floor((now - first) / period) * period
         is_valid = start >= first and now - start < min(period, VALID_SECONDS + 1.0 / self.limit)
-        # Slots move when instances join or leave: a slot less than a period after the last is void.
+        # Slots move when instances join or leave: one too soon after the last used is void.
         return start if is_valid and start >= self.last + period * 0.999 else None
 
     def use_slot(self, position: InstancePosition, now: float) -> None:
--- a/pondpin/main.py
+++ b/pondpin/main.py
@@ -5,10 +5,10 @@
 
 
 def main() -> None:
-    """Entry point of pondpin-entry.
+    """Ignore SIGHUP, then load and run the program.
 
-    SIGHUP means that the settings changed. It must not end the program while this is loading: the
-    settings are read afterwards.
+    SIGHUP means that the settings changed. While the program loads it may not end it: the settings
+    are read afterwards.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     # Loaded objects stay alive: freezing them after loading saves some 30 ms in each later full
--- a/pondpin/notice_headers.py
+++ b/pondpin/notice_headers.py
@@ -1,6 +1,4 @@
-"""Response headers in which upstreams of the callers' own interface report that they are leaving,
-rest, or have a request limit.
-"""
+"""Response headers with the notices of upstreams of the callers' own interface."""
 
 from collections.abc import Callable
 
--- a/pondpin/notices.py
+++ b/pondpin/notices.py
@@ -1,7 +1,7 @@
 """What an upstream reports of itself in a response: leaving, a rest, or a request limit.
 
-Adapters read the values from their own headers; their meaning is decided here, for all adapters.
-Times are in seconds, limits in requests a second.
+Adapters read the values from their own headers; their meaning is decided here. Times are in
+seconds, limits in requests a second.
 """
 
 import email.utils
@@ -19,9 +19,9 @@
 class Notice:
     """What the head of one response reports of its upstream.
 
-    rest: seconds without requests that it asks for, 0 for none. invalid_rest: a Retry-After that
-    can't be parsed, as received, or empty. limit: what it accepts from all instances together, None
-    when not reported. invalid_limit: a limit that can't be parsed, as received, or empty.
+    rest: seconds without requests that it asks for, 0 for none. limit: of requests of all instances
+    together, None when not reported. invalid_rest, invalid_limit: a value that can't be parsed, as
+    received, or empty.
     """
 
     is_leaving: bool = False
@@ -63,7 +63,7 @@
 
 
 def _parse_limit(values: Sequence[str]) -> tuple[float | None, str]:
-    # Imported here since few upstreams report a limit.
+    # Few upstreams report a limit.
     from pondpin.upstream_limits import parse_limit
 
     return parse_limit(values)
@@ -72,9 +72,9 @@
 def parse_rest(value: str, date: str, wall_now: float) -> float | None:
     """The seconds that a Retry-After value asks for; None when it is invalid.
 
-    Seconds may have a fraction and have no upper bound: a rest is never shortened. A negative
-    number, an exponent or a number without digits is invalid. An HTTP date counts from the
-    response's Date, the same clock, when there is one; a date in the past asks for no rest.
+    Seconds may have a fraction and have no upper bound: a rest is never shortened. Negative values,
+    exponents and values without digits are invalid. An HTTP date counts from the response's Date,
+    of the same clock, if there is one; a past date asks for no rest.
     """
     if DECIMAL.fullmatch(value):
         return float(value)
--- a/pondpin/pacer.py
+++ b/pondpin/pacer.py
@@ -6,9 +6,8 @@
 import math
 from dataclasses import dataclass
 
-# Permits accumulate for this long beyond a whole one. At most 4.125 times the limit plus one are
-# issued in any 4 s. An issuer that takes over starts without a burst, so that both together stay
-# below 1.25 times 4 s of the limit, plus 3.
+# Permits accumulate for this long beyond a whole one: at most 4.125 times the limit plus one in any
+# 4 s. A new issuer has no burst, so that both stay below 1.25 times 4 s of the limit plus 3.
 BURST_SECONDS = 0.125
 
 
--- a/pondpin/partitionable_client.py
+++ b/pondpin/partitionable_client.py
@@ -1,4 +1,4 @@
-"""HTTP client of the callers' own interface, with a network partition for tests and experiments."""
+"""HTTP client of the callers' own interface, which tests and experiments can partition."""
 
 from typing import Any
 
@@ -7,9 +7,9 @@
 
 
 class PartitionableClient(HttpClient):
-    """Makes no calls after partition, like a dead process, and none to blocked endpoints.
+    """Makes no calls after partition, like a dead process.
 
-    blocked_endpoints: hosts and ports; calls to them fail as on a broken network.
+    blocked_endpoints: hosts and ports to which calls fail as on a broken network.
     """
 
     def __init__(self, reactor: Any, connect_timeout: float) -> None:
--- a/pondpin/quarantine.py
+++ b/pondpin/quarantine.py
@@ -1,22 +1,21 @@
 """Quarantine of deadly requests, which crash the upstreams that run them.
 
 An end is an upstream life that ended while it ran a request. It counts once against the request,
-whichever instance observed it. One end makes the request suspected: it runs at one upstream at a
-time, isolated from others. Three quarantine it: it runs nowhere for a period, then in single
-trials at growing intervals.
+whichever instance observed it. After one end the request is suspected: it runs at one upstream at a
+time, apart from others. Three quarantine it: it runs nowhere for a period, then in single trials at
+growing intervals.
 
-Most requests that an upstream was running when it ended are innocent, so an end does not count
-against a request
+Most requests at an upstream that ends are innocent, so an end does not count against a request
 
 - that had been answered there for a while or was in its prefill, when another had just begun;
-- that shares the end with a request that has more ends: those explain it;
+- that shares it with a request that has more ends, which explain it;
 - when many other lives ended at the same time, as in the loss of a rack or of a service's power;
 - that has completed at some upstream recently, or does so later.
 
-Ends of requests that had not just begun suspect none, but three of them quarantine.
+An end of a request that had not just begun doesn't suspect it, but three quarantine it.
 
-The state is a set of ends with the key (request, life), whose flags are only ever set. So instances
-can merge their sets in any order, and no end counts twice. Times are of the steady clock.
+The state is a set of ends by request and life, whose flags change one way only. So instances can
+merge their sets in any order, and no end counts twice. Times are of the steady clock.
 """
 
 import enum
@@ -34,8 +33,8 @@
 # so that a deadly request ends at most one upstream a minute.
 QUARANTINE_SECONDS = 60.0
 MAX_QUARANTINE_SECONDS = 3600.0
-# After a quarantine the instances may run trials one after the other, at this interval, so that a
-# trial that ends its upstream has been broadcast before the next.
+# After a quarantine the instances may run trials in turn at this interval, so that the end of one
+# trial's upstream is broadcast before the next trial.
 TRIAL_INTERVAL_SECONDS = 5.0
 # Lives of a rack or a service that loses power end within this time; a deadly request takes 0.1 s
 # and more from one upstream to the next.
@@ -47,15 +46,15 @@
 SUCCESS_SECONDS = 30.0
 # A suspect's run whose end is not reported by then: its instance is gone.
 RUN_TIMEOUT_SECONDS = 2.0
-# A suspect's next run waits for this long after its last end: by then every instance has reported
-# the requests that it had there.
+# A suspect's next run waits this long after its last end: by then every instance has reported the
+# requests that it had there.
 SETTLE_SECONDS = 0.06
 # Other requests avoid a suspect's upstream for this long: a deadly request ends it within 0.2 s.
 AVOID_SECONDS = 0.5
 # A void end is kept for this long, so that a peer's older report doesn't restore it.
 VOID_RETENTION_SECONDS = 60.0
 # Memory bounds: 0.3 kB a suspect, 0.1 kB a completed request. Evicted first are void ends and
-# suspects with the fewest others, then the oldest.
+# suspects with the fewest others; the oldest first among equals.
 MAX_SUSPECTS = 1000
 MAX_ENDS = 12
 MAX_SUCCESSES = 4096
@@ -112,12 +111,12 @@
 
     @property
     def earliest_run_at(self) -> float:
-        """Before this a suspect may not run."""
+        """When a suspect may run at the earliest."""
         return self.ends[-1].at + SETTLE_SECONDS if self.ends else 0.0
 
     @property
     def allows_retry(self) -> bool:
-        """Whether another upstream may be tried: only after the request's first end."""
+        """Whether another upstream may be tried: after the first end only."""
         return len(self.ends) <= 1
 
 
@@ -172,7 +171,7 @@
         self._fingerprint: int | None = 0
 
     def record_end(self, identity: int, end: LifeEnd) -> bool:
-        """Record an end that this instance observed; True when it must be broadcast."""
+        """Record an end observed here; True when it must be broadcast."""
         success_at = self.success_at_by_identity.get(identity)
         if success_at is not None and end.at - success_at < SUCCESS_SECONDS:
             return False
@@ -215,7 +214,7 @@
         return len(self._valid_ends(identity)), latest
 
     def record_success(self, identity: int, now: float) -> tuple[NamedEnd, ...]:
-        """A request completed: void its ends; returns those that were not void before."""
+        """Void the ends of a completed request; returns those that were valid."""
         self.success_at_by_identity[identity] = now
         self.success_at_by_identity.move_to_end(identity)
         if len(self.success_at_by_identity) > MAX_SUCCESSES:
@@ -223,7 +222,7 @@
         return self.clear(identity)
 
     def clear(self, identity: int) -> tuple[NamedEnd, ...]:
-        """Void all ends of a request; returns those that were not void before."""
+        """Void all ends of a request; returns those that were valid."""
         valid = self._valid_ends(identity)
         return tuple(self.settle(identity, end.life, void=True) for end in valid)
 
@@ -253,7 +252,7 @@
             likely = [end for end in ends if not end.unlikely]
             is_fresh = now - ends[-1].at < SUSPICION_SECONDS
             return Assessment(Verdict.SUSPECTED, ends) if likely and is_fresh else FREE
-        return _assess_quarantined(ends, now, context)
+        return _assess_many(ends, now, context)
 
     def _counted_ends(self, identity: int, upstream_count: int) -> tuple[LifeEnd, ...]:
         """The ends that count against a request, in order of time."""
@@ -280,7 +279,7 @@
         return False
 
     def _is_correlated(self, end: LifeEnd, own: set[int], upstream_count: int) -> bool:
-        """Whether many lives that did not run the request ended at the same time."""
+        """Whether many lives without the request ended at the same time."""
         limit = max(CORRELATED_LIVES, CORRELATED_SHARE * upstream_count)
         others = 0
         for life, identities in self.identities_by_life.items():
@@ -376,16 +375,14 @@
         return self._fingerprint
 
 
-def _assess_quarantined(
-    ends: tuple[LifeEnd, ...], now: float, context: AssessmentContext
-) -> Assessment:
+def _assess_many(ends: tuple[LifeEnd, ...], now: float, context: AssessmentContext) -> Assessment:
     """Quarantine a request with enough ends, or allow a trial."""
     until = ends[-1].at + quarantine_seconds(len(ends))
     if now >= until + context.trial_rank * TRIAL_INTERVAL_SECONDS:
         return Assessment(Verdict.SUSPECTED, ends, until)
     failed = frozenset(end.release for end in ends)
     if context.trial_rank == 0 and 0 not in failed and context.releases - failed:
-        # New software may handle the request: one instance runs a trial there.
+        # One instance runs a trial on new software.
         return Assessment(Verdict.SUSPECTED, ends, until, failed)
     return Assessment(Verdict.QUARANTINED, ends, until)
 
--- a/pondpin/relay_settings.py
+++ b/pondpin/relay_settings.py
@@ -40,8 +40,8 @@
 
     key_ms: how long a revoked key may still be served, in milliseconds.
     keys_need_proof: refuse keys when the configuration in force was not proved fresh for that long;
-    otherwise an instance that can't read the source continues with the configuration it has.
-    configuration_ms: how long after its publication a configuration must be in force on all
+    otherwise an instance that can't read the source continues with what it has.
+    configuration_ms: within this time after its publication a configuration must be in force on all
     instances, in milliseconds.
     """
 
--- a/pondpin/request_identity.py
+++ b/pondpin/request_identity.py
@@ -18,7 +18,7 @@
 def identify(key: bytes, account: str, host: str, target: bytes, body: bytes) -> int:
     """The identity of a request; account is empty on a public route.
 
-    5 us for a body of 256 bytes, 64 us for 64 KiB, nearly all of it SHA-256 over the body
+    Takes 5 us for a body of 256 bytes, 64 us for 64 KiB, mostly SHA-256 over the body
     (`python -m pondpin.tools.measure_identity`).
     """
     digest = hashlib.blake2b(key=key, digest_size=DIGEST_BYTES)
--- a/pondpin/retry_budget.py
+++ b/pondpin/retry_budget.py
@@ -1,4 +1,4 @@
-"""Retry budget: limits retries to a share of first attempts, so that they never amplify load."""
+"""Retry budget: retries are limited to a share of first attempts, against retry storms."""
 
 from dataclasses import dataclass, replace
 
--- a/pondpin/service_choice.py
+++ b/pondpin/service_choice.py
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceView:
-    """A service upstream: this instance's open calls, its reported calls, whether it is local."""
+    """A service upstream, with this instance's open calls and those that it reported."""
 
     id: str
     open_calls: int
--- a/pondpin/strict_decoding.py
+++ b/pondpin/strict_decoding.py
@@ -28,7 +28,7 @@
 
 
 def _decode_object(kind: type[T], value: Any, path: str, faults: list[FieldError]) -> T | None:
-    """Decode a JSON object into a data class; on faults, append them and return None."""
+    """Decode a JSON object into a data class; on faults append them, return None."""
     if not isinstance(value, dict):
         faults.append(FieldError(path or "$", "not an object"))
         return None
--- a/pondpin/tls.py
+++ b/pondpin/tls.py
@@ -13,7 +13,7 @@
 MIN_VERSION = SSL.TLS1_2_VERSION
 
 
-def modification_times(files: Tls) -> tuple[float, ...]:
+def mtimes(files: Tls) -> tuple[float, ...]:
     """Modification times of the files."""
     paths = (files.certificate, files.key, files.authority)
     return tuple(os.stat(path).st_mtime for path in paths if path)
@@ -40,17 +40,17 @@
 
     def __init__(self, files: Tls) -> None:
         self._files = files
-        self._modified = modification_times(files)
+        self._mtimes = mtimes(files)
         self._context = make_openssl_context(files)
         self.reloads = 0
 
     def getContext(self) -> SSL.Context:
         """The context for a new connection."""
         try:
-            modified = modification_times(self._files)
-            if modified != self._modified:
+            changed = mtimes(self._files)
+            if changed != self._mtimes:
                 self._context = make_openssl_context(self._files)
-                self._modified = modified
+                self._mtimes = changed
                 self.reloads += 1
         except (OSError, SSL.Error):
             # Files are being replaced: the next connection retries.
@@ -63,7 +63,7 @@
 
     def __init__(self, files: Tls) -> None:
         self._files = files
-        self._modified = modification_times(files)
+        self._mtimes = mtimes(files)
         self.server = self._make(ssl.Purpose.CLIENT_AUTH)
         self.client = self._make(ssl.Purpose.SERVER_AUTH)
 
@@ -76,10 +76,10 @@
         return context
 
     def refresh(self) -> bool:
-        """Reload the files if they changed, for new connections; returns whether it did."""
+        """Reload changed files for new connections; returns whether it did."""
         try:
-            modified = modification_times(self._files)
-            if modified == self._modified:
+            changed = mtimes(self._files)
+            if changed == self._mtimes:
                 return False
             for context in (self.server, self.client):
                 context.load_cert_chain(self._files.certificate, self._files.key)
@@ -87,10 +87,10 @@
                     context.load_verify_locations(self._files.authority)
         except (OSError, ssl.SSLError):
             return False
-        self._modified = modified
+        self._mtimes = changed
         return True
 
 
 def twisted_tls(files: Tls | None) -> Any:
-    """The context factory for WebServer.listen; None for plain text."""
+    """The argument of WebServer.listen; None for plain text."""
     return ReloadingContext(files) if files is not None else None
--- a/pondpin/upstream_limits.py
+++ b/pondpin/upstream_limits.py
@@ -1,4 +1,4 @@
-"""The request limit that an upstream reports for all instances together, and which report applies.
+"""The request limit that an upstream reports for all instances, and which report applies.
 
 Times are in seconds of the steady clock, limits in requests a second.
 """
@@ -12,9 +12,9 @@
 
 Life = TypeVar("Life", bound=Hashable)
 
-# Times in a peer's message are converted when it is read, a few ms late: a report counts as later
-# than another only by more than this.
-TIMING_TOLERANCE_SECONDS = 0.05
+# Times from peers are dated when their message is read, a few ms late: one report is later than
+# another only by more than this.
+TOLERANCE_SECONDS = 0.05
 # Stands for no limit in logs and peer messages.
 NO_LIMIT = -1.0
 # Larger limits, also infinite ones, have no effect and are sent as this.
@@ -38,8 +38,8 @@
 def parse_limit(values: Sequence[str]) -> tuple[float | None, str]:
     """The limit in a response's headers, None for none, and an invalid value, or empty.
 
-    A decimal number of any length, as for a rest. The lowest of several values applies, invalid
-    ones aside; 0 is a limit. Invalid values alone neither set a limit nor lift one.
+    A decimal number of any length, as for a rest. The lowest of several valid values applies; 0 is
+    a limit. Invalid values alone neither set nor lift a limit.
     """
     limit: float | None = None
     invalid = ""
@@ -54,11 +54,10 @@
 def merge_reports(known: LimitReport | None, new: LimitReport) -> LimitReport:
     """Which of two reports applies.
 
-    Response heads arrive out of order: a report whose request was sent before the other report was
-    received may be the older one. So only a report whose request was sent after that replaces the
-    other whatever its limit; otherwise the lower limit applies.
+    Response heads arrive out of order: only a report whose request was sent after the other report
+    was received is surely the newer one and replaces it. Otherwise the lower limit applies.
     """
-    if known is None or new.request_sent_at > known.received_at + TIMING_TOLERANCE_SECONDS:
+    if known is None or new.request_sent_at > known.received_at + TOLERANCE_SECONDS:
         return new
     if known.limit == new.limit:
         request_sent_at = max(known.request_sent_at, new.request_sent_at)
@@ -67,7 +66,7 @@
             request_sent_at=request_sent_at,
             received_at=max(known.received_at, new.received_at),
         )
-    if known.request_sent_at > new.received_at + TIMING_TOLERANCE_SECONDS or new.limit is None:
+    if known.request_sent_at > new.received_at + TOLERANCE_SECONDS or new.limit is None:
         return known
     return new if known.limit is None or new.limit < known.limit else known
 
@@ -95,7 +94,7 @@
 
 
 def _begin_slow_start(availability: Availability, now: float) -> None:
-    """Begin a slow start without a rest before it: the upstream still accepts requests."""
+    """Begin a slow start without a rest: the upstream still accepts requests."""
     if availability.rest is None or availability.rest.until <= now:
         availability.rest = Rest(now, now, now)
 
