--- a/pondpin/quarantine.py
+++ b/pondpin/quarantine.py
@@ -44,7 +44,7 @@
 CORRELATED_SHARE = 0.25
 # A completed request can't be suspected for this long; then upstreams' software may have changed.
 SUCCESS_SECONDS = 30.0
-# A suspect's run whose end is not reported by then: its instance is gone.
+# A suspect's run without a reported end expires: its instance has died.
 RUN_TIMEOUT_SECONDS = 2.0
 # A suspect's next run waits this long after its last end: by then every instance has reported the
 # requests that it had there.
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LifeEnd:
-    """A life of an upstream ended while a request was there.
+    """An upstream's life that ended while it ran a request.
 
     release: ID of the software that ran there, 0 if unknown. unlikely: the request had not just
     begun to run: it had been answered there for a while, or was in its prefill. void: it does not
@@ -144,7 +144,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SuspectRun:
-    """A run of a suspect at an upstream's life since a time."""
+    """A run of a suspect at an upstream's life."""
 
     life: int
     started_at: float
