--- a/pondpin/main.py
+++ b/pondpin/main.py
@@ -1,18 +1,18 @@
-"""pondpin-entry: its entry point, which imports little so that signals find it prepared."""
+"""Entry point of pondpin-entry; imports little, so that SIGHUP is ignored early."""
 
 import gc
 import signal
 
 
 def main() -> None:
-    """Entry point of pondpin-entry.
+    """Ignore SIGHUP, then load and run the program.
 
-    A hang-up signal means that settings changed. One that comes while the program still loads
-    must not end it: the settings are read after this.
+    SIGHUP means that the settings changed. While the program loads it may not end it: the settings
+    are read afterwards.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    # What is loaded now stays: looking through it for garbage takes some 30 ms at each full
-    # collection later, and nothing once it is set aside (`gc.collect` timed after loading).
+    # Loaded objects stay alive: freezing them after loading saves some 30 ms in each later full
+    # collection (`gc.collect` timed after loading).
     gc.disable()
     from pondpin.launch import PROGRAM, entry
     from pondpin.runtime import run_command
