--- a/pondpin/relay/ports.py
+++ b/pondpin/relay/ports.py
@@ -61,7 +61,7 @@
 class SourceHead:
     """The headers about the source in a response.
 
-    epoch: of its revisions; 0 for none. odd_epoch: an invalid value, as received. unknown: names
+    epoch: of its revisions; 0 for none. invalid_epoch: an invalid value, as received. unknown_headers: names
     and values of unknown headers.
     """
 
