--- a/pondpin/relay/ports.py
+++ b/pondpin/relay/ports.py
@@ -61,8 +61,8 @@
 class SourceHead:
     """The headers about the source in a response.
 
-    epoch: of its revisions; 0 for none. invalid_epoch: an invalid value, as received. unknown_headers: names
-    and values of unknown headers.
+    epoch: of its revisions; 0 for none. invalid_epoch: an invalid value, as received.
+    unknown_headers: their names and values.
     """
 
     epoch: int = 0
