--- a/pondpin/relay/attempts/attempt.py
+++ b/pondpin/relay/attempts/attempt.py
@@ -219,7 +219,7 @@
     ) -> float:
         """Seconds until an attempt counts as stalled, or to the deadline if it can't be retried.
 
-        Since the send, the key may have been revoked or the retry budget spent.
+        By then the key may have been revoked, or the retry budget spent.
         """
         if limit is None:
             return self._time_left(call, None, since)
--- a/pondpin/relay/attempts/crash_guard.py
+++ b/pondpin/relay/attempts/crash_guard.py
@@ -51,7 +51,10 @@
         self._started_at = self.clock()
 
     async def admit(self, call: RelayCall, progress: Progress) -> None:
-        """Admit a request to placement and set whether it is suspected, or raise PondpinError."""
+        """Admit a request to placement, or raise PondpinError.
+
+        Sets whether it is suspected, and which releases must not run it.
+        """
         while not self._is_synced():
             await asyncio.sleep(POLL_SECONDS)
         if self.has_ends:
--- a/pondpin/relay/attempts/events.py
+++ b/pondpin/relay/attempts/events.py
@@ -14,7 +14,7 @@
 
 
 class EventSplitter:
-    """Buffers partial events."""
+    """Buffers bytes and returns complete events."""
 
     def __init__(self) -> None:
         self._buffer = b""
--- a/pondpin/relay/log.py
+++ b/pondpin/relay/log.py
@@ -1,4 +1,4 @@
-"""The structured log on standard output."""
+"""The structured log on standard output: bounded and non-blocking."""
 
 import os
 from collections import deque
--- a/pondpin/relay/model.py
+++ b/pondpin/relay/model.py
@@ -176,7 +176,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestMetadata:
-    """A caller's headers; timeout is None if not given."""
+    """A caller's headers; timeout is in seconds, None if not given."""
 
     attempt_id: str
     host: str
--- a/pondpin/relay/peers/gossip.py
+++ b/pondpin/relay/peers/gossip.py
@@ -199,6 +199,7 @@
             self._reply(digest, now)
 
     def _reply(self, request: Digest, now: float) -> None:
+        # At once, so that the peer can date the contents.
         base = msgspec.structs.replace(
             self.build_digest(now),
             work=(),
--- a/pondpin/relay/peers/published_sync.py
+++ b/pondpin/relay/peers/published_sync.py
@@ -21,7 +21,6 @@
 
     @cached_property
     def _fetcher(self) -> "DocumentFetcher":
-        """Imported for the first newer document."""
         from pondpin.relay.published.document_fetch import DocumentFetcher
 
         gossip = self._gossip
--- a/pondpin/relay/peers/quarantine_sync.py
+++ b/pondpin/relay/peers/quarantine_sync.py
@@ -131,7 +131,7 @@
             self.quarantine.begin_run(identity, message.instance, life, now)
 
     def sync_peer(self, digest: Digest, now: float) -> None:
-        """Send ends to a peer with another hash."""
+        """Send ends to a peer with another hash, without delay after its start."""
         if digest.quarantine_tag == self.quarantine.fingerprint:
             self.is_synced = True
             return
--- a/pondpin/relay/published/freshness.py
+++ b/pondpin/relay/published/freshness.py
@@ -11,7 +11,8 @@
     """Identifies a published configuration.
 
     version is set by the operator and only increases. epoch and revision are its position in the
-    source's history. content is the hash of its value, 0 if unknown.
+    source's history; after a restore the source reuses revisions. content is the hash of its
+    value, 0 if unknown.
     """
 
     version: int
--- a/pondpin/relay/published/reader.py
+++ b/pondpin/relay/published/reader.py
@@ -223,7 +223,6 @@
         return read.item
 
     def _known_in(self, epoch: int) -> KnownConfiguration | None:
-        """The configuration known from this instance's reads or a peer."""
         in_force = self._publication.in_force
         known = self._known
         if known is not None and known.epoch != epoch:
--- a/pondpin/relay/upstreams/notice_handler.py
+++ b/pondpin/relay/upstreams/notice_handler.py
@@ -93,7 +93,6 @@
         )
 
     def _get_limit_handler(self) -> "LimitHandler":
-        """Loaded on first use, as few upstreams have limits."""
         if self._limit_handler is None:
             from pondpin.relay.upstreams.limit_handler import LimitHandler
 
